--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -96,7 +96,7 @@
 mutant "a former life's late entry counts" internal/director/lives.go \
   's/case v\.born != 0 && v\.entry != nil.*\n\t\treturn false\n//' ./internal/director TestNewLifeIsToldByItself
 mutant "requests at a former life are waited for" internal/gateway/board.go \
-  's/s\.cancel\(errStartedAgain\)/_ = s/' ./internal/gateway TestRequestsOfAFormerLifeEnd
+  's/s\.cancel\(errRestarted\)/_ = s/' ./internal/gateway TestRequestsOfAFormerLifeEnd
 mutant "an older entry counts" internal/fleet/directory.go \
   's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderWordChangesNothing
 mutant "a faulty entry is passed over" internal/fleet/directory.go \
@@ -116,7 +116,7 @@
 mutant "directors decide by the same counts" internal/director/place.go \
   's/in\.Groups = s\.foresee\(/_ = s.foresee(/' ./internal/director TestDirectorsDontFollowEachOther
 mutant "a pass that reads counts as silence" internal/gateway/stalls.go \
-  's/least := max\(stallLeast, .*\)\)\)/least := stallLeast/' ./internal/gateway TestOneStreamAtABusyHead
+  's/minSilence := max\(minStall, .*/minSilence := minStall/' ./internal/gateway TestOneStreamAtABusyHead
 mutant "a first event is not waited for by its prediction" internal/gateway/stalls.go \
   's/firstFactor\*longest/0*longest/' ./internal/gateway TestOneStreamAtABusyHead
 mutant "a leader's watch waits for long" internal/feed/feed.go \
@@ -150,19 +150,19 @@
 mutant "a failed non-idempotent request goes out again" internal/gateway/attempt.go \
   's/fault\.Verdict != verdict\.NotRun && !j\.c\.Route\.Repeatable\(\)/false/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a request that may have run is answered 503" internal/gateway/attempt.go \
-  's/if j\.ran > 0 && fault\.Verdict == verdict\.NotRun/if false/; s/if fault\.Verdict != verdict\.NotRun \&\& fault\.Status == http\.StatusServiceUnavailable/if false/; s/Verdict: verdict\.MayHaveRun, Status: http\.StatusBadGateway/Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable/; s/j\.failed\(ctx, s, verdict\.As\(err\)\)/j.failed(ctx, s, \&verdict.Error{Verdict: verdict.NotRun, Status: 503, Code: "x"})/' ./internal/gateway TestNonIdempotentIsSentOnce
+  's/if j\.mayHaveRun > 0 && fault\.Verdict == verdict\.NotRun/if false/; s/if fault\.Verdict != verdict\.NotRun \&\& fault\.Status == http\.StatusServiceUnavailable/if false/; s/Verdict: verdict\.MayHaveRun, Status: http\.StatusBadGateway/Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable/; s/j\.handleFailure\(ctx, s, verdict\.As\(err\)\)/j.handleFailure(ctx, s, \&verdict.Error{Verdict: verdict.NotRun, Status: 503, Code: "x"})/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a cut stream ends well" internal/gateway/handle.go \
   's/if fault\.Code == codeAborted \{/if fault.Code == codeAborted {\n\t\treturn/' ./internal/gateway TestCutStreamNeverLooksWhole
 mutant "a stream goes on with the wrong event" internal/gateway/attempt.go \
-  's/a\.LastEvent = j\.out\.last/a.LastEvent = "5"/' ./internal/gateway TestStreamGoesOnElsewhere
+  's/a\.LastEvent = j\.out\.lastEventID/a.LastEvent = "5"/' ./internal/gateway TestStreamGoesOnElsewhere
 mutant "a stalled head is waited for" internal/gateway/server.go \
   's/one\.cancel\(cause\)/_ = one/' ./internal/gateway TestStreamGoesOnElsewhere
 mutant "a silent stream is ended with nowhere to go" internal/gateway/server.go \
-  's/if s\.board\.keepPlace\(now, one, s\.nodes\(\)\)/s.board.keepPlace(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithNowhereToGoIsWaitedFor
+  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithNowhereToGoIsWaitedFor
 mutant "a slow call is ended with nowhere to go" internal/gateway/server.go \
-  's/if s\.board\.keepPlace\(now, one, s\.nodes\(\)\)/s.board.keepPlace(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowAnswerWithNowhereToGoIsWaitedFor
+  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowAnswerWithNowhereToGoIsWaitedFor
 mutant "a node blames heads for its own standstill" internal/gateway/heldup.go \
-  's/if first \|\| elapsed <= usualLate/if first || elapsed >= 0/' ./test/integration TestPausedNodeBlamesNoHead
+  's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' ./test/integration TestPausedNodeBlamesNoHead
 mutant "a VM is lost though nobody answers" internal/director/reference.go \
   's/if w := s\.groups\[vm\.Group\]; w == nil \|\| w\.reference == nil/if true/' ./internal/director TestDirectorThatHearsNobodyBlamesNobody
 mutant "a silence of all heads blames each" internal/gateway/stalls.go \
@@ -182,7 +182,7 @@
 mutant "an answer in a stop does not say so" internal/gateway/handle.go \
   's/w\.Header\(\)\.Set\("Connection", "close"\)/_ = w/' ./internal/gateway TestRequestsReadInAStopAreAnswered
 mutant "a request that a stop would cut is begun" internal/gateway/stopping.go \
-  's/if end == nil/if true/' ./internal/gateway TestRequestThatAStopWouldCutIsRefused
+  's/if stopDeadline == nil/if true/' ./internal/gateway TestRequestThatAStopWouldCutIsRefused
 mutant "keys are honoured without a proof" internal/gateway/handle.go \
   's/s\.config\.KeyProof > 0 && c\.CatalogAge > s\.config\.KeyProof/false/' ./internal/gateway TestKeysNeedAProof
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
@@ -208,11 +208,11 @@
 mutant "remains of groups count as supply" internal/director/place.go \
   's/ \&\& s\.promising\(g\)//' ./internal/director TestRemainsAreNoSupply
 mutant "a group that is taken apart gets requests" internal/gateway/choose.go \
-  's/ \|\| b\.dissolving\[t\.group\]//' ./internal/gateway TestDissolvingGroupGetsNoRequests
+  's/ \|\| tt\.dissolving\[t\.group\]//' ./internal/gateway TestDissolvingGroupGetsNoRequests
 mutant "a doubted head gets all requests" internal/gateway/choose.go \
-  's/r\.t\.doubts > 0 \&\& r\.t\.own > 0/false/' ./internal/gateway TestDoubtedHeadGetsOneRequest
+  's/candidate\.target\.unresponsiveCount > 0 \&\& candidate\.target\.localInFlight > 0/false/' ./internal/gateway TestDoubtedHeadGetsOneRequest
 mutant "a lost answer is waited for" internal/gateway/stalls.go \
-  's/now\.Sub\(s\.lastByte\) > b\.lostAfter\(s\)/false/' ./internal/gateway TestLostAnswerAtALivelyHead
+  's/now\.Sub\(s\.lastActivity\) > tt\.lostAfter\(s\)/false/' ./internal/gateway TestLostAnswerAtALivelyHead
 mutant "a silent leader is followed on" internal/feed/feed.go \
   's/l\.failedUntil\[leader\.ID\] = now\.Add\(failedFor\)//; s/q\.wait\+answerTime/time.Hour/; s/q\.wait\+mostTransfer/time.Hour/' ./internal/feed TestSilentLeader
 mutant "a leader out of touch is followed" internal/feed/feed.go \
@@ -254,7 +254,7 @@
 mutant "an entry keeps the connection of a request in chunks" internal/entry/server.go \
   's/if len\(r\.TransferEncoding\) > 0/if false/' ./internal/entry TestNothingHiddenBehindChunksIsServed
 mutant "silent nodes count until another is heard" internal/gateway/choose.go \
-  's/b\.forgetSilentPeers\(now\)//' ./internal/gateway TestNodesThatFellSilentDontFillHeads
+  's/tt\.dropExpiredPeers\(now\)//' ./internal/gateway TestNodesThatFellSilentDontFillHeads
 mutant "free VMs are never kept" internal/placement/placement.go \
   's/if !ok \|\| d\.keepFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
 
@@ -267,15 +267,15 @@
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
   's/r\.Kept \* float64/0 * float64/' ./internal/batch TestAdmit
 mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
-  's/return m\.usual - patience/return 0/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
+  's/return m\.typical - timeout/return 0/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
   's/if callers\.ClosedByCaller\(j\.r\)/if false \&\& callers.ClosedByCaller(j.r)/' ./internal/gateway TestCallersThatLeftWhileTheNodeWasHeldBack
 mutant "a request that is given up is delivered later" internal/relay/sender.go \
   's/c\.unanswered\.Store\(true\)//' ./internal/relay TestGivenUpRequestIsTakenBack
 mutant "overload is told as nothing that serves" internal/gateway/choose.go \
-  's/case p\.full:/case false:/' ./internal/gateway TestFullHeadsBesideASuspectedOneAreOverload
+  's/case sel\.full:/case false:/' ./internal/gateway TestFullHeadsBesideASuspectedOneAreOverload
 mutant "sampled heads are of any failure domain" internal/gateway/choose.go \
-  's/if b\.sample == 0 \{\n\t\treturn all/if true {\n\t\treturn all/' ./internal/gateway TestSampledHeadsAreMostlyNear
+  's/if tt\.sample == 0 \{\n\t\treturn all/if true {\n\t\treturn all/' ./internal/gateway TestSampledHeadsAreMostlyNear
 mutant "a slow plain upstream gets as much as others" internal/gateway/predict.go \
   's/if t\.group != "" \|\|/if true ||/' ./internal/gateway TestSlowPlainUpstreamTakesLess
 mutant "a failed leader leaves no other" internal/feed/feed.go \
@@ -286,7 +286,7 @@
   's/b\.failures\+\+//' ./internal/wait TestBackoffGrowsToItsBound
 
 mutant "made-up models are counted" internal/gateway/demand.go \
-  's/if !b\.serves\(c\)/if false/' ./internal/gateway TestMadeUpNamesLeaveNothingBehind
+  's/if !tt\.servesModel\(c\)/if false/' ./internal/gateway TestMadeUpNamesLeaveNothingBehind
 
 mutant "ends are not counted together" internal/quarantine/record.go \
   's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestNodesCountTogether
@@ -297,9 +297,9 @@
 mutant "an answer clears nothing" internal/quarantine/record.go \
   's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesAgree'
 mutant "a request in quarantine is sent" internal/gateway/suspects.go \
-  's/case j\.c\.judged\.Quarantined > 0:/case false:/' ./internal/gateway TestRequestThatCrashesUpstreamsEnds
+  's/case j\.c\.quarantineVerdict\.Quarantined > 0:/case false:/' ./internal/gateway TestRequestThatCrashesUpstreamsEnds
 mutant "ends of upstreams are attempts" internal/gateway/suspects.go \
-  's/j\.ended\+\+\n/_ = j.ended\n/' ./internal/gateway TestUpstreamsThatCrashCostNoAnswer
+  's/j\.terminated\+\+\n/_ = j.terminated\n/' ./internal/gateway TestUpstreamsThatCrashCostNoAnswer
 mutant "the table is not bounded" internal/quarantine/table.go \
   's/t\.bound\(mostProved/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
 mutant "news are not told" internal/quarantine/gossip.go \
@@ -352,15 +352,15 @@
 mutant "a leader waits as long as it pauses" internal/feed/fleet.go \
   's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestProofIsYoungAtEachMoment
 mutant "the least known load is taken" internal/gateway/choose.go \
-  's/&& !b\.fresh\(now, q\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestCrowdAtManyNodes
+  's/&& !tt\.loadsAreFresh\(now, hr\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestCrowdAtManyNodes
 mutant "arrivals elsewhere are not expected" internal/gateway/divide.go \
   's/total \+= d\.GetArrivals\(\)/total += 0/' ./internal/gateway TestCrowdAtManyNodes
 mutant "callers come back at once" internal/gateway/room.go \
-  's/crowdBack = 3 \* time\.Second/crowdBack = time.Nanosecond/' ./internal/gateway TestCrowdThatComesBack
+  's/overloadRetrySpread = 3 \* time\.Second/overloadRetrySpread = time.Nanosecond/' ./internal/gateway TestCrowdThatComesBack
 mutant "patience is learned in a crowd" internal/gateway/predict.go \
-  's/if now\.Sub\(b\.refusedAt\) > calmAfter \{/if true {/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
+  's/if now\.Sub\(tt\.lastRejection\) > noRejectionPeriod \{/if true {/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
 mutant "the part turned away outlasts its crowd" internal/gateway/choose.go \
-  's/b\.noteAway\(q\.key, 0\)//' ./internal/gateway TestCrowdThatEnds
+  's/tt\.recordRejectedShare\(hr\.key, 0\)//' ./internal/gateway TestCrowdThatEnds
 mutant "a node that knows nobody directs" internal/director/duty.go \
   's/return ok && now\.Sub\(known\) >= settleTime && /_, _ = known, ok\n\treturn /' ./internal/director TestNodeThatKnowsNobodyDirectsNothing
 mutant "a restart is the beginning" internal/director/place.go \
@@ -394,13 +394,13 @@
 mutant "backpressure: an older answer ends a limit" internal/backpressure/table.go \
   's/ \|\| !sent\.After\(c\.limit\.at\)//' ./internal/backpressure TestAnswerOfBeforeDoesNotEndALimit
 mutant "backpressure: a limit is lost with its target" internal/gateway/condition.go \
-  's/b\.conditions\.Sweep\(/b.conditions = backpressure.NewTable()\n\tb.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
+  's/tt\.conditions\.Sweep\(/tt.conditions = backpressure.NewTable()\n\ttt.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
 mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
   's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestLimitIsKeptByNodesThatAreToldOfIt
 mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
-  's/\t\tb\.conditions\.Unsent\(lifeOf\(to\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
+  's/\t\ttt\.conditions\.Unsent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
-  's/hold := b\.hold\(now, t, kept\); hold\.Back/hold := b.hold(now, t, kept); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
+  's/hold := tt\.throttle\(now, t, reserved\); hold\.Back/hold := tt.throttle(now, t, reserved); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
   's/needed := 1 \+ min\(reserve, mostReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
@@ -414,7 +414,7 @@
 mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
   's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestRestOfYearsIsBounded
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
-  's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
+  's/ \|\| tt\.conditions\.Leaving\(incarnationOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
   's/\td\.leavers\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsWhateverItsEntrySays
 mutant "backpressure: what reports say is not heard" platform/engine.go \
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -48,8 +48,8 @@
 mutant "own whole answer" internal/gateway/answer.go 's/if errors\.Is\(err, io\.EOF\) \{/if err != nil {/'
 mutant "not run is true" 'internal/relay/sender.go internal/gateway/attempt.go' 's/http\.StatusBadGateway/http.StatusServiceUnavailable/g'
 mutant "at most once" internal/gateway/attempt.go 's/case fault\.Verdict != verdict\.NotRun \&\& !j\.c\.Route\.Repeatable\(\):/case false:/'
-mutant "attempts" internal/gateway/attempt.go 's/case j\.ran-j\.ended >= j\.c\.Route\.Attempts \|\| j\.sends-j\.ended >= j\.c\.Route\.Attempts\+spareSends \|\| j\.ended > mostEnded:/case false:/; s/if !j\.use\.Allowed/if false/'
-mutant "asked for" internal/gateway/handle.go 's/if ambiguous := framing\(w, r\); fault == nil/if ambiguous := framing(w, r); false/'
+mutant "attempts" internal/gateway/attempt.go 's/case j\.mayHaveRun-j\.terminated >= j\.c\.Route\.Attempts \|\| j\.sends-j\.terminated >= j\.c\.Route\.Attempts\+extraRefusedSends \|\| j\.terminated > maxTerminations:/case false:/; s/if !j\.repeatUse\.Allowed/if false/'
+mutant "asked for" internal/gateway/handle.go 's/if ambiguous := checkFraming\(w, r\); fault == nil/if ambiguous := checkFraming(w, r); false/'
 mutant "no half-formed group" internal/director/groups.go 's/allReady = allReady && \(m\.State == fleet\.Ready \|\| m\.State == fleet\.Open\)//'
 mutant "one group at a time" internal/director/dissolve.go 's/w\.dissolving, w\.graceful, w\.since = true, graceful, now/w.dissolving, w.graceful, w.since, w.released = true, graceful, now, true/'
 mutant "leaving upstreams" internal/gateway/board.go 's/ \|\| vm\.Draining//'
@@ -57,16 +57,16 @@
 mutant "changes never revert" internal/catalog/keeper.go 's/k\.current\.Store\(c\)/k.current.Store(c)\n\ttime.AfterFunc(1500*time.Millisecond, func() { k.current.Store(old) })/'
 mutant "revoked keys end" internal/gateway/handle.go 's/team, ok := current\.Team\(c\.Key\)\n\tif !ok/team, ok := current.Team("key-7")\n\tif !ok/'
 mutant "budget for repeats" internal/retry/budget.go 's/if use\.Earned\+use\.Fixed < 1-rounding/if false/'
-mutant "work for callers that left" 'internal/gateway/handle.go internal/gateway/stream.go' 's/s\.parts\.Tracer\.Extract\(r\.Context\(\), r\.Header\)/context.WithoutCancel(s.parts.Tracer.Extract(r.Context(), r.Header))/; s/return errors\.CombineErrors\(errCallerGone, err\)/_ = err/g'
-mutant "refusals come at once" internal/gateway/attempt.go 's/return j\.refused\(why, rivals\)/time.Sleep(1500 * time.Millisecond)\n\t\treturn j.refused(why, rivals)/'
+mutant "work for callers that left" 'internal/gateway/handle.go internal/gateway/stream.go' 's/s\.parts\.Tracer\.Extract\(r\.Context\(\), r\.Header\)/context.WithoutCancel(s.parts.Tracer.Extract(r.Context(), r.Header))/; s/return errors\.CombineErrors\(errCallerDisconnected, err\)/_ = err/g'
+mutant "refusals come at once" internal/gateway/attempt.go 's/return j\.rejectionError\(why, evaluation\)/time.Sleep(1500 * time.Millisecond)\n\t\treturn j.rejectionError(why, evaluation)/'
 mutant "answers by the deadline" internal/gateway/handle.go 's/context\.WithTimeout\(ctx, clock\.Until\(c\.Deadline\)\)/context.WithTimeout(ctx, clock.Until(c.Deadline)+20*time.Second)/'
 mutant "a stop cuts nothing" internal/gateway/server.go 's/err := s\.callers\.Drain\(limit, s\.config\.Linger\)/_ = limit\n\terr := s.callers.Close()/'
 mutant "a stop cuts nothing" internal/daemon/daemon.go 's/if s == syscall\.SIGINT/if true/'
-mutant "a held-up node blames nobody" internal/gateway/heldup.go 's/if first \|\| elapsed <= usualLate/if first || elapsed >= 0/' "--planned --engines 12 --callers 40"
-mutant "crashing requests end" internal/gateway/suspects.go 's/case j\.c\.judged\.Quarantined > 0:/case false:/; s/one\.cancel\(errQuarantined\)/_ = one/'
+mutant "a held-up node blames nobody" internal/gateway/heldup.go 's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' "--planned --engines 12 --callers 40"
+mutant "crashing requests end" internal/gateway/suspects.go 's/case j\.c\.quarantineVerdict\.Quarantined > 0:/case false:/; s/one\.cancel\(errQuarantined\)/_ = one/'
 mutant "limits of upstreams" internal/backpressure/table.go 's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/'
 mutant "rests of upstreams" internal/backpressure/rest.go 's/if now\.Before\(r\.until\) \{/if false {/'
-mutant "upstreams that say they leave" 'internal/gateway/condition.go internal/fleet/directory.go' 's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//; s/\td\.leavers\.mark\(vms\)\n//'
+mutant "upstreams that say they leave" 'internal/gateway/condition.go internal/fleet/directory.go' 's/ \|\| tt\.conditions\.Leaving\(incarnationOf\(t\.vm\)\)//; s/\td\.leavers\.mark\(vms\)\n//'
 wait
 for i in $(seq "$number"); do cat "$work/result-$i"; done
 ! grep -qhE '^(SURVIVED|NOT)' "$work"/result-*
