--- a/internal/gateway/stalls_test.go
+++ b/internal/gateway/stalls_test.go
@@ -13,10 +13,10 @@
 var busyEngine = batch.Engine{Slots: 22, Stride: 8, StepTime: 6070 * time.Microsecond, PerSequence: 241 * time.Microsecond,
 	ReadPerSecond: 46000, Chunk: 2048, Pace: 1}
 
-// TestOneStreamAtABusyHead: of 295 nodes each had one stream at a head or two, and knew no usual
-// pause. A pass that reads prompts takes up to 447 ms there, and 350 ms of silence counted as a
-// stall: the stream was broken off, read again elsewhere, and the budget for repeats was used up
-// when groups really lost members.
+// TestOneStreamAtABusyHead: each of 295 nodes had a stream at only one or two heads, and had learned no
+// typical pause. A pass that reads prompts takes up to 447 ms there, but 350 ms of silence counted as a
+// stall: the stream was canceled, its prompt was read again elsewhere, and the budget for repeats was used
+// up when groups really lost members.
 //
 //	5007 all streams of a head fell silent silent_ms=352 usual_pause_ms=0 requests=1
 //	5011 a request is not sent again budget={"earned":0.1,"fixed":0.5,"nodes":295}
@@ -38,29 +38,30 @@
 	tt, s := newStream(0)
 	tt.recordEvent(start, s)
 	if silent(tt, busyEngine.LongestPass()) {
-		t.Error("a pass that reads counts as a stall")
+		t.Error("a pass that reads a prompt counts as a stall")
 	}
 	if !silent(tt, 600*time.Millisecond) {
-		t.Error("a head that is silent for longer than any pass is waited for")
+		t.Error("a head that is silent for longer than any pass does not count as stalled")
 	}
 	tt, s = newStream(0)
 	tt.recordEvent(start, s)
 	tt.receiveState(start, &marbleroadv1.NodeState{Node: "n2", Suspicions: []*marbleroadv1.Suspicion{{Group: "ga"}}}, start, time.Second)
 	if silent(tt, 400*time.Millisecond) {
-		t.Error("another node's finding ends a stream within a pass")
+		t.Error("another node's report stalls a head within a pass")
 	}
 	tt, _ = newStream(800 * time.Millisecond)
 	if silent(tt, 1500*time.Millisecond) {
 		t.Error("a first event that was predicted late counts as a stall")
 	}
 	if !silent(tt, maxFirstEvent) {
-		t.Error("a first event is waited for without end")
+		t.Error("a first event has no time limit")
 	}
 }
 
-// TestAllHeadsSilentAtOnce: beside a busy machine all heads at which a node had streams were silent for the
-// same 0.36 s, at each of 68 nodes, and all of them were blamed. When nobody is heard, waiting for the longest
-// silence costs half a second; a head that is silent beside others that go on is left as soon as before.
+// TestAllHeadsSilentAtOnce: on a busy host, all heads at which a node had streams were silent for the same
+// 0.36 s, at each of 68 nodes, and all of them were suspected. If no head sends data, waiting for the
+// longest stall costs half a second. A head that is silent while others send data must be suspected as
+// quickly as usual.
 //
 //	4024 all streams of a head fell silent silent_ms=364 usual_pause_ms=107   (24 groups within 80 ms)
 func TestAllHeadsSilentAtOnce(t *testing.T) {
@@ -78,19 +79,19 @@
 		receive(now, "a", "b")
 	}
 	if found := tt.findStalls(now.Add(minStall + time.Millisecond)); len(found) != 0 {
-		t.Errorf("%d heads are blamed for a silence of all", len(found))
+		t.Errorf("%d heads are suspected when all are silent", len(found))
 	}
 	for range 15 {
 		now = now.Add(30 * time.Millisecond)
 		receive(now, "b")
 	}
 	if found := tt.findStalls(now); len(found) != 1 || found[0].vm != "a" {
-		t.Errorf("%d heads are blamed beside one that goes on", len(found))
+		t.Errorf("%d heads are suspected beside an active one", len(found))
 	}
 	tt, c = newTestTable(t, start, noneDissolving)
 	sends = map[string]*send{"a": sendTo(tt, start, c, "a"), "b": sendTo(tt, start, c, "b")}
 	receive(start, "a", "b")
 	if found := tt.findStalls(start.Add(maxStall + time.Millisecond)); len(found) != 2 {
-		t.Errorf("%d heads are found after the longest silence", len(found))
+		t.Errorf("%d heads are found after the longest stall", len(found))
 	}
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// caller is one connection to a gateway.
+// caller is a connection to a gateway.
 type caller struct {
 	t *testing.T
 	net.Conn
@@ -38,7 +38,8 @@
 	}
 }
 
-// whole reads an answer to its end and returns its status; 0 when there is none.
+// readResponse reads a response to its end. It returns its status, 0 if there is none, and whether the
+// connection closes.
 func (c *caller) readResponse() (status int, closes bool) {
 	resp, err := http.ReadResponse(c.responses, nil)
 	if err != nil {
@@ -56,7 +57,8 @@
 	requestRest  = "Deadline-Ms: 8000\r\nModel: m\r\nContent-Length: 0\r\n\r\n"
 )
 
-// stop begins a stop and returns what is closed at its end; it waits until no more connections are taken.
+// startStop starts a shutdown and waits until no new connections are accepted. The channel receives the
+// result of the shutdown.
 func (s *testSite) startStop(t *testing.T) <-chan error {
 	t.Helper()
 	stopped := make(chan error, 1)
@@ -71,19 +73,20 @@
 	return stopped
 }
 
-// TestRequestsReadInAStopAreAnswered: nodes that were stopped read whole requests and closed their
-// connections without a word. net/http's Shutdown drops what a connection has just read, and closes
-// connections that look idle while a request is on its way in. On two days of planned work 12 and 13 of
-// the tries that had no answer were such requests, and no line named them until there was one:
+// TestRequestsReadDuringStopAreAnswered: nodes that were shut down read complete requests and closed the
+// connections without a response. The Shutdown method of net/http drops a request that a connection has
+// just read, and closes connections that look idle while a request is arriving. On two days of planned
+// maintenance, 12 and 13 of the unanswered attempts were such requests. Nothing logged them until this
+// event was added:
 //
 //	5017 a connection ended with a request that was read and not handled stopping=true
-func TestRequestsReadInAStopAreAnswered(t *testing.T) {
+func TestRequestsReadDuringStopAreAnswered(t *testing.T) {
 	partial := fmt.Sprintf(requestStart, "/read/x")
 	cases := map[string]struct{ before, after string }{
-		"the header was read in part":          {partial, requestRest},
-		"the connection was open":              {"", partial + requestRest},
-		"the body was read in part":            {partial + "Deadline-Ms: 8000\r\nContent-Length: 2\r\n\r\nb", "b"},
-		"another request came on it before it": {partial + requestRest, partial + requestRest},
+		"part of the header was read": {partial, requestRest},
+		"the connection was open":     {"", partial + requestRest},
+		"part of the body was read":   {partial + "Deadline-Ms: 8000\r\nContent-Length: 2\r\n\r\nb", "b"},
+		"another request preceded it": {partial + requestRest, partial + requestRest},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +98,7 @@
 					t.Fatalf("before the stop: %d, closes %t", status, closes)
 				}
 			}
-			// What was written is read by now, or comes with the rest.
+			// What was written has been read by now, or arrives with the rest.
 			time.Sleep(20 * time.Millisecond)
 			stopped := s.startStop(t)
 			conn.write(c.after)
@@ -110,9 +113,10 @@
 	}
 }
 
-// TestAStreamOfBeforeAStopKeepsItsConnection: the header of a stream that began before a stop does
-// not say that the connection ends, so its caller goes on there. Its next request was met by the close.
-func TestAStreamOfBeforeAStopKeepsItsConnection(t *testing.T) {
+// TestStreamFromBeforeStopKeepsConnection: the header of a stream that started before a shutdown can't
+// announce the close, so the caller reuses the connection. Its next request arrived while the connection
+// was being closed.
+func TestStreamFromBeforeStopKeepsConnection(t *testing.T) {
 	s := newTestSite(t, options{linger: waitLimit, pause: 50 * time.Millisecond})
 	conn := dialCaller(t, s)
 	request := fmt.Sprintf(requestStart, "/stream/x") + requestRest
@@ -134,9 +138,10 @@
 	}
 }
 
-// TestRequestThatAStopWouldCutIsRefused: what comes on a kept connection while a node stops was begun
-// though the stop would end before it, and then cut. It has not run, so another node can still take it.
-func TestRequestThatAStopWouldCutIsRefused(t *testing.T) {
+// TestRequestLongerThanStopIsRejected: a request that arrived on a kept connection during a shutdown was
+// started although it would take longer than the shutdown, and was then interrupted. It must be rejected
+// as not run, so that another node can take it.
+func TestRequestLongerThanStopIsRejected(t *testing.T) {
 	const limit = 1500 * time.Millisecond
 	s := newTestSite(t, options{linger: waitLimit, stopLimit: limit, pause: limit / 2})
 	long, short := dialCaller(t, s), dialCaller(t, s)
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// wholeSmoothing is the weight of the newest call in a route's smoothed time and its
-	// deviation, as for TCP's retransmission timer; wholeDeviations is how many of them above the
-	// smoothed time a call may usually take.
+	// durationSmoothing is the weight of the latest call in a route's smoothed duration and its deviation,
+	// as in TCP's retransmission timer. durationDeviations is the number of deviations above the smoothed
+	// duration that a call typically takes at most.
 	durationSmoothing  = 0.125
 	durationDeviations = 4
-	// stoppingBack is when to come back to another node: at once, but not all together.
+	// stoppingRetryAfter is the minimum retry delay of a stopping node. Another node can take the request
+	// at once, but retries are spread.
 	stoppingRetryAfter = 50 * time.Millisecond
 )
 
-// spans learns how long whole calls take, by route. It is safe for concurrent use.
+// routeDurations learns how long calls take, by route. It is safe for concurrent use.
 type routeDurations struct {
 	mu     sync.Mutex
 	routes map[string]*durationEstimate
 }
 
-// span is how long the calls of a route take.
+// durationEstimate is the smoothed duration of a route's calls.
 type durationEstimate struct{ mean, deviation time.Duration }
 
-// learn takes a call that was served.
+// record adds the duration of a successful call.
 func (s *routeDurations) record(route string, elapsed time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,7 @@
 	estimate.deviation += time.Duration(durationSmoothing * float64(difference.Abs()-estimate.deviation))
 }
 
-// usual is how long a call of the route may usually take; false while none was served.
+// typical returns how long a call of the route typically takes at most; false if none has succeeded yet.
 func (s *routeDurations) typical(route string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,15 +59,16 @@
 	return estimate.mean + durationDeviations*estimate.deviation, true
 }
 
-// outlasts reports whether a call would probably go on after the end of a stop. It may take until
-// its deadline, and takes its usual time if that is known.
+// exceedsStop reports whether a call would probably still be in progress when a shutdown ends. A call
+// takes its typical duration if that is known, and may take until its deadline otherwise.
 func exceedsStop(now, stopDeadline, deadline time.Time, typical time.Duration, known bool) bool {
 	left := stopDeadline.Sub(now)
 	return deadline.After(stopDeadline) && (!known || typical > left)
 }
 
-// refuseInStop refuses a call that the stop under way would cut. Callers' connections are kept for a
-// while in a stop, and what comes there in its last seconds can still be served by another node.
+// rejectIfStopping rejects a call that the current shutdown would interrupt. Connections of callers stay
+// open for a while during a shutdown, and requests that arrive in its last seconds can still be served by
+// another node.
 func (s *Server) rejectIfStopping(c *Call) *verdict.Error {
 	stopDeadline := s.stopDeadline.Load()
 	if stopDeadline == nil {
@@ -77,5 +79,5 @@
 		return nil
 	}
 	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: codeStopping,
-		Detail: "this node stops before the request would end", RetryAfter: s.targets.jitter(stoppingRetryAfter) + stoppingRetryAfter}
+		Detail: "this node shuts down before the request would complete", RetryAfter: s.targets.jitter(stoppingRetryAfter) + stoppingRetryAfter}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,35 +11,34 @@
 )
 
 var (
-	// errCutStream means that a stream ended without its proper end.
-	errTruncatedStream = errors.New("the stream broke off")
-	// errCallerGone means that the caller stopped reading.
-	errCallerDisconnected = errors.New("the caller is gone")
-	// errPartSent means that a long answer broke off after a part of it was passed on.
-	errPartialResponse = errors.New("a part of the answer is with the caller")
-	// errStalled ends the sends of a head that fell silent.
-	errStalled = errors.New("all streams of the head fell silent")
-	// errStartedAgain ends sends to a VM that has started again since.
-	errRestarted = errors.New("the upstream VM started again")
-	// errLostAnswer ends a send whose answer is silent while its head goes on.
-	errLostResponse = errors.New("the answer fell silent while its head went on")
-	// errQuarantined ends the sends of a request that was put in quarantine meanwhile.
-	errQuarantined = errors.New("too many upstreams ended under the request")
-	// errOrder means that a stream's events do not follow each other.
+	// errTruncatedStream means that a response ended before its proper end.
+	errTruncatedStream = errors.New("the response was truncated")
+	// errCallerDisconnected means that the caller no longer reads the response.
+	errCallerDisconnected = errors.New("the caller disconnected")
+	// errPartialResponse means that a long response was truncated after a part of it was passed on.
+	errPartialResponse = errors.New("a part of the response was already sent to the caller")
+	// errStalled cancels the sends at a silent head.
+	errStalled = errors.New("all streams of the head are silent")
+	// errRestarted cancels the sends to a VM that has restarted.
+	errRestarted = errors.New("the upstream VM restarted")
+	// errLostResponse cancels a send whose response is silent while its head serves others.
+	errLostResponse = errors.New("the response is silent while its head serves others")
+	// errQuarantined cancels the sends of a request that has been quarantined.
+	errQuarantined = errors.New("too many upstreams terminated under the request")
+	// errEventOrder means that the IDs of a stream's events are not consecutive.
 	errEventOrder = errors.New("stream events out of order")
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes limits the size of an event.
 const maxEventBytes = 1 << 20
 
-// eventReader splits a stream's body into whole events, byte for byte.
+// eventReader splits the body of a stream into events without changing their bytes.
 type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// streamBuffer is the size of the buffer that a stream is read through, bytes.
-// Events are some hundred bytes long.
+// streamBuffer is the size of the read buffer of a stream in bytes. Events are some hundred bytes long.
 const streamBuffer = 4 << 10
 
 func newEventReader(body io.Reader) *eventReader {
@@ -48,8 +47,8 @@
 
 var idField = []byte("id:")
 
-// next returns an event with its closing blank line, and its ID if it has one.
-// io.EOF is returned only between events; the bytes are valid until the next call.
+// next returns an event including its closing blank line, and its ID if it has one. It returns io.EOF only
+// between events. The bytes are valid until the next call.
 func (e *eventReader) next() (raw, id []byte, err error) {
 	e.buf = e.buf[:0]
 	for {
@@ -75,7 +74,7 @@
 	}
 }
 
-// endOf tells a proper end from one within an event.
+// classifyEnd distinguishes the regular end of a stream from an end within an event.
 func (e *eventReader) classifyEnd(err error) error {
 	if errors.Is(err, io.EOF) && len(e.buf) == 0 {
 		return io.EOF
@@ -83,14 +82,13 @@
 	return errors.CombineErrors(errTruncatedStream, err)
 }
 
-// streamOut is a caller's side of a stream. It belongs to the request's
-// goroutine. Invariant: the caller gets each event once, whole and in order,
-// whichever upstream it comes from.
+// streamOut writes a stream to a caller. It is used by the goroutine of the request only. Invariant: the
+// caller receives each event once, complete and in order, whichever upstream it comes from.
 type streamOut struct {
 	w       http.ResponseWriter
 	flush   *http.ResponseController
 	started bool
-	// last is the ID of the last event that the caller has.
+	// lastEventID is the ID of the last event that the caller has.
 	lastEventID string
 	events      int
 }
@@ -99,12 +97,12 @@
 func (o *streamOut) start(resp *http.Response) {
 	o.started = true
 	copyHeader(o.w, resp)
-	// The length of a stream that may be continued elsewhere is not known.
+	// The length of a stream that may continue at another upstream is unknown.
 	o.w.Header().Del("Content-Length")
 	o.w.WriteHeader(resp.StatusCode)
 }
 
-// write passes on one event, unless the caller already has it.
+// write passes on an event unless the caller already has it.
 func (o *streamOut) write(raw, id []byte) error {
 	if len(id) > 0 {
 		repeat, err := o.follows(string(id))
@@ -125,8 +123,8 @@
 	return nil
 }
 
-// follows checks an event's ID against the last one: IDs rise. repeat is true
-// for an event that the caller already has.
+// follows checks that the ID of an event follows the last one. repeat is true for an event that the caller
+// already has.
 func (o *streamOut) follows(id string) (repeat bool, err error) {
 	if o.lastEventID == "" {
 		return false, nil
@@ -134,7 +132,7 @@
 	last, errLast := strconv.ParseUint(o.lastEventID, 10, 64)
 	next, errNext := strconv.ParseUint(id, 10, 64)
 	if errLast != nil || errNext != nil {
-		// IDs that are no numbers can't be compared.
+		// IDs that are not numbers have no order.
 		return id == o.lastEventID, nil
 	}
 	if next > last+1 {
@@ -143,8 +141,8 @@
 	return next <= last, nil
 }
 
-// copyHeader passes on an answer's header without what concerns one connection,
-// and keeps net/http from adding fields of its own.
+// copyHeader copies a response's header without the fields that apply to one connection only, and keeps
+// net/http from adding fields of its own.
 func copyHeader(w http.ResponseWriter, resp *http.Response) {
 	out := w.Header()
 	for name, values := range PassOn(resp.Header) {
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// apartPenalty keeps suspects apart, in passes of a full batch: a request under which two
-	// upstreams ended goes where no other one is, and others keep away from it.
+	// separationPenalty keeps suspects apart, in passes of a full batch: a request under which an upstream
+	// terminated avoids targets with a suspect, which is a request under which two terminated.
 	separationPenalty = 3
-	// harmPenalty keeps requests that nothing is held against from a head with a suspect, which
-	// may take them with it.
+	// besideSuspectPenalty keeps all other requests away from a head with a suspect, which may terminate
+	// the head under them.
 	besideSuspectPenalty = 1
-	// spreadPenalty spreads those under which one upstream ended: when all that broke off with a
-	// head went to the same next one, they would be suspects together.
+	// spreadPenalty spreads the requests under which one upstream terminated: if all that were interrupted
+	// at a head went to the same next head, they would all become suspects together.
 	spreadPenalty = 0.3
-	// endedEjection is how long a VM whose port is closed is left out: the platform takes its
-	// entry away after some 4 s, and one that starts again is another life.
+	// terminatedEjection is how long a VM with a closed port is ejected. The platform removes its entry
+	// after some 4 s, and a restarted VM is another incarnation.
 	terminatedEjection = 5 * time.Second
-	// trialBack is when to come back to a suspect that is being tried: its answer, or its
-	// upstream's end, takes about a second.
+	// trialRetryAfter is the retry delay for a suspect that is being tried: its response, or the
+	// termination of its upstream, takes about a second.
 	trialRetryAfter = time.Second
-	// lookAgainAfter is when a VM whose answer broke off is looked at once more, lookAgainMost when
-	// for the last time: a process that dies closes its connections and its port within some
-	// milliseconds, in any order.
+	// recheckDelay is the delay before the port of a VM with a truncated response is checked again. After
+	// a check with a delay of at least maxRecheckDelay there is no further one. A dying process closes its
+	// connections and its port within some milliseconds, in any order.
 	recheckDelay    = 60 * time.Millisecond
 	maxRecheckDelay = 200 * time.Millisecond
-	// unprovenFor is how long a VM that fell silent may take to prove that it ended, by another
-	// life or by leaving the platform's list: longer than three heartbeats.
+	// pendingTerminationTTL is how long the termination of a silent VM can be confirmed, by a new
+	// incarnation or by its removal from the platform's list. It is longer than three heartbeats.
 	pendingTerminationTTL = 6 * time.Second
-	// mostUnproven bounds the requests at such VMs that are remembered.
+	// maxPendingTerminations limits the number of requests that are remembered for such VMs.
 	maxPendingTerminations = 1024
 )
 
-// held counts a send that begins (1) or ends (-1) among those that something is held against.
+// trackQuarantine updates the counts of requests with terminations when a send starts (1) or finishes
+// (-1).
 func (t *target) trackQuarantine(one *send, delta int) {
 	if one.quarantineVerdict.Ends > 0 {
 		t.withTermination += delta
@@ -52,9 +53,9 @@
 	}
 }
 
-// apart is what a target's other requests add to its score for a request of which that much is
-// held against. With requests that crash their VMs among many that do not, the third VM that ends
-// tells which it was only if no other suspect was there.
+// quarantinePenalty returns the penalty for a request with the given verdict due to the other requests at
+// the target. When requests that crash their VMs run among many that don't, the third VM that terminates
+// identifies the cause only if no other suspect was there.
 func (tt *targetTable) quarantinePenalty(t *target, judged quarantine.Verdict) float64 {
 	suspects := t.suspects + tt.peerSuspects[t.group]
 	penalty := 0.0
@@ -71,7 +72,8 @@
 	return penalty
 }
 
-// meet notes which suspects are at a target at the same time. It is called before a send counts.
+// markSharedTargets marks the suspects that are at a target at the same time. It must be called before the
+// send is counted.
 func (tt *targetTable) markSharedTargets(s *send) {
 	if !s.quarantineVerdict.Suspected() {
 		return
@@ -84,14 +86,14 @@
 	}
 }
 
-// alone reports whether no other suspect was at the send's target.
+// onlySuspect reports whether no other suspect was at the send's target.
 func (tt *targetTable) onlySuspect(s *send) bool {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
 	return !s.sharedWithSuspect
 }
 
-// leaveOut has a VM whose port is closed get nothing more.
+// ejectTerminated ejects a VM whose port is closed.
 func (tt *targetTable) ejectTerminated(now time.Time, s *send) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -102,7 +104,7 @@
 	tt.recordUnreachable(now, s.target)
 }
 
-// running lists the sends under way of a request.
+// sendsOf returns the sends in progress of a request.
 func (tt *targetTable) sendsOf(f quarantine.Fingerprint) []*send {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -117,8 +119,8 @@
 	return out
 }
 
-// quarantined ends the sends under way of a request that was put in quarantine: it may not have
-// begun to run at them.
+// quarantined cancels the sends in progress of a request that has been quarantined. The upstreams may not
+// have started to run it.
 func (s *Server) quarantined(f quarantine.Fingerprint) {
 	s.metrics.Count("quarantine.requests", 1)
 	running := s.targets.sendsOf(f)
@@ -129,7 +131,8 @@
 	s.parts.Nudge()
 }
 
-// barred refuses a call that upstreams must be kept from, and notes what is held against it.
+// checkQuarantine rejects a quarantined request, or a suspect one that is being tried, and records the
+// verdict.
 func (j *job) checkQuarantine() *verdict.Error {
 	j.c.quarantineVerdict = quarantine.Verdict{}
 	if !j.s.quarantine.Known() {
@@ -140,16 +143,16 @@
 	case j.c.quarantineVerdict.Quarantined > 0:
 		j.s.metrics.Count("quarantine.refused", 1)
 		return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: codeQuarantined,
-			Detail: "too many upstreams ended while they ran this request", RetryAfter: j.c.quarantineVerdict.Quarantined}
+			Detail: "too many upstreams terminated while they ran this request", RetryAfter: j.c.quarantineVerdict.Quarantined}
 	case j.c.quarantineVerdict.Suspected() && j.sends == 0 && len(j.s.targets.sendsOf(j.c.fingerprint())) > 0:
 		j.s.metrics.Count("quarantine.on_trial", 1)
 		return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: codeOnTrial,
-			Detail: "upstreams ended while they ran this request, and it is being tried once more", RetryAfter: trialRetryAfter}
+			Detail: "upstreams terminated while they ran this request, and another attempt is in progress", RetryAfter: trialRetryAfter}
 	}
 	return nil
 }
 
-// answered notes that an upstream ran the call to its end.
+// recordCompletion records that an upstream ran the call to completion.
 func (j *job) recordCompletion() {
 	if j.s.quarantine.Known() || j.s.pending.any() {
 		j.s.pending.drop(j.c.fingerprint())
@@ -157,8 +160,8 @@
 	}
 }
 
-// checkEnded looks whether the upstream ended while it ran the call, after its answer broke off
-// or was given up for the cause.
+// checkTermination checks whether the upstream terminated while it ran the call, after its response was
+// truncated or the send was canceled for the given cause.
 func (j *job) checkTermination(ctx context.Context, s *send, cause error) {
 	leaving := j.s.isLeaving(s.vm)
 	if errors.Is(cause, errStalled) || errors.Is(cause, errRestarted) {
@@ -187,7 +190,7 @@
 	}
 }
 
-// lookAgain looks some more times whether a VM whose answer broke off has ended.
+// recheckTermination checks up to two more times whether a VM with a truncated response has terminated.
 func (s *Server) recheckTermination(send *send, delay time.Duration) {
 	s.pending.add(clock.Now(), send, false)
 	time.AfterFunc(delay, func() {
@@ -206,7 +209,8 @@
 	})
 }
 
-// leaves reports whether a VM was about to leave, so that its end says nothing of its requests.
+// isLeaving reports whether a VM was about to leave, so that its termination is not attributed to its
+// requests.
 func (s *Server) isLeaving(vm *fleet.VM) bool {
 	snapshot := s.parts.Directory.Snapshot()
 	if snapshot == nil {
@@ -216,7 +220,7 @@
 	return listed == nil || listed.Draining
 }
 
-// ended holds a VM's end against the request that it ran.
+// recordTermination attributes the termination of a VM to the request that it ran.
 func (s *Server) recordTermination(send *send) {
 	onlySuspect := s.targets.onlySuspect(send)
 	v := s.quarantine.Ended(clock.Now(), send.fingerprint, quarantine.LifeOf(send.vm.ID, send.vm.Born), onlySuspect)
@@ -226,7 +230,7 @@
 		Int("ends", v.Ends).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
 }
 
-// findEnded looks which VMs that fell silent have ended.
+// confirmTerminations checks which of the silent VMs have terminated.
 func (s *Server) confirmTerminations(now time.Time) {
 	if !s.pending.any() {
 		return
@@ -237,7 +241,7 @@
 	}
 }
 
-// endedBy reports whether the list shows that a VM's life has ended.
+// terminationListed reports whether the platform's list shows that an incarnation of a VM has terminated.
 func terminationListed(snapshot *fleet.Snapshot, vm *fleet.VM) bool {
 	listed := snapshot.VMs[vm.ID]
 	return listed == nil || !listed.SameLife(vm)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -10,10 +10,10 @@
 	"github.com/marbleroad/marbleroad/test/standin/groupengine"
 )
 
-// TestKeysEndOverASuspension: a VM was suspended for longer than keys may be honoured without proof. The
-// steady clock did not count that time, so that the proof from before looked fresh and a key that had
-// been taken away meanwhile was honoured.
-func TestKeysEndOverASuspension(t *testing.T) {
+// TestKeysExpireDuringSuspension: a VM was suspended for longer than keys may be accepted without
+// verifying the catalog. The monotonic clock did not count that time, so the last verification looked
+// recent, and a key that had been revoked meanwhile was accepted.
+func TestKeysExpireDuringSuspension(t *testing.T) {
 	s := newTestSite(t, options{keyProof: 5 * time.Second})
 	if resp := s.send(t, http.MethodGet, "/read/a", nil); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d before", resp.StatusCode)
@@ -21,17 +21,17 @@
 	s.store.SetDown(true)
 	clock.Note(10 * time.Second)
 	if resp := s.send(t, http.MethodGet, "/read/a", nil); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("status %d for a key whose proof is 10 s old", resp.StatusCode)
+		t.Errorf("status %d for a key that was last verified 10 s ago", resp.StatusCode)
 	}
 	s.store.SetDown(false)
-	waitFor(t, "a new proof", func() bool {
+	waitFor(t, "a new verification", func() bool {
 		return s.send(t, http.MethodGet, "/read/a", nil).StatusCode == http.StatusOK
 	})
 }
 
-// TestTimeLeftOverASuspension: a request that is sent once more after its VM was suspended is handed
-// the time that is left for it, not what was left before.
-func TestTimeLeftOverASuspension(t *testing.T) {
+// TestTimeLeftAfterSuspension: a request that is sent again after its VM was suspended is sent with the
+// time that is left then, not with the time left before.
+func TestTimeLeftAfterSuspension(t *testing.T) {
 	const suspension = 5 * time.Second
 	s := newTestSite(t, options{heads: 3, observe: func(o groupengine.Observation) {
 		if o.Kind == groupengine.Arrived && o.Request == "sleeps" {
--- a/internal/gateway/unproven.go
+++ b/internal/gateway/unproven.go
@@ -8,19 +8,19 @@
 	"github.com/marbleroad/marbleroad/internal/quarantine"
 )
 
-// unproven remembers requests whose VM may have ended under them. A VM that loses power closes no
-// port; that it ended shows only later, by another life or by its leaving the platform's list. One
-// whose process dies may close its connections before its port. A request that is answered
-// meanwhile is let go.
+// pendingTerminations remembers requests whose VM may have terminated under them. A VM that loses power
+// closes no port: its termination shows only later, by a new incarnation or by its removal from the
+// platform's list. A dying process may close its connections before its port. A request that completes
+// meanwhile is removed.
 type pendingTerminations struct {
 	mu    sync.Mutex
 	sends map[*send]pendingTermination
 }
 
-// silence is when and how a VM may have ended.
+// pendingTermination is when a VM may have terminated, and how this can be confirmed.
 type pendingTermination struct {
 	since time.Time
-	// byList is true when the platform's list may prove the end.
+	// byList is true if the platform's list can confirm the termination.
 	byList bool
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// take takes a send out; it reports false when it was let go.
+// take removes a send. It reports false if the send was already removed.
 func (u *pendingTerminations) take(s *send) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -45,14 +45,14 @@
 	return ok
 }
 
-// any reports whether there is any.
+// any reports whether there are any pending terminations.
 func (u *pendingTerminations) any() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.sends) > 0
 }
 
-// drop lets all sends of a request go.
+// drop removes all sends of a request.
 func (u *pendingTerminations) drop(f quarantine.Fingerprint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// proven takes out and returns the sends whose VM has ended, and forgets those that are too old.
+// confirmed removes and returns the sends whose VM has terminated, and removes those that are too old.
 func (u *pendingTerminations) confirmed(now time.Time, snapshot *fleet.Snapshot) []*send {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/gateway/unproven_test.go
+++ b/internal/gateway/unproven_test.go
@@ -8,10 +8,10 @@
 	"github.com/marbleroad/marbleroad/internal/quarantine"
 )
 
-// TestEveryUnprovenEndIsKept: a request was sent on while it was not known yet whether the VM before
-// had ended. The second VM took the first one's place among what waits for a proof, so that half of
-// the ends under it were never held against it.
-func TestEveryUnprovenEndIsKept(t *testing.T) {
+// TestEveryPendingTerminationIsKept: a request was sent again before it was known whether its previous VM
+// had terminated. The second VM replaced the first one in the pending terminations, so that half of the
+// terminations were never attributed to the request.
+func TestEveryPendingTerminationIsKept(t *testing.T) {
 	now := time.Now()
 	var pending pendingTerminations
 	var sends []*send
@@ -24,17 +24,17 @@
 	pending.add(now, other, true)
 	list := &fleet.Snapshot{VMs: map[string]*fleet.VM{"b": {ID: "b", Born: 2}, "c": {ID: "c", Born: 1}}}
 	if found := pending.confirmed(now, list); len(found) != len(sends) {
-		t.Errorf("%d ends are proven by a VM that is gone and one that started again, 2 expected", len(found))
+		t.Errorf("%d terminations confirmed by a removed VM and a restarted one, 2 expected", len(found))
 	}
 	pending.add(now, sends[0], false)
 	if found := pending.confirmed(now, list); len(found) != 0 {
-		t.Error("the list proved the end of a VM that only its port may prove")
+		t.Error("the list confirmed a termination that only the port may confirm")
 	}
 	pending.drop(quarantine.Fingerprint(9))
 	if pending.take(sends[0]) {
-		t.Error("a request that was answered is still held for an end")
+		t.Error("a completed request is still pending")
 	}
 	if !pending.take(other) || pending.any() {
-		t.Error("the other request was let go too")
+		t.Error("the other request was removed too")
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -96,7 +96,7 @@
 mutant "a former life's late entry counts" internal/director/lives.go \
   's/case v\.born != 0 && v\.entry != nil.*\n\t\treturn false\n//' ./internal/director TestNewLifeIsToldByItself
 mutant "requests at a former life are waited for" internal/gateway/board.go \
-  's/s\.cancel\(errRestarted\)/_ = s/' ./internal/gateway TestRequestsOfAFormerLifeEnd
+  's/s\.cancel\(errRestarted\)/_ = s/' ./internal/gateway TestRequestsAtRestartedVMAreCanceled
 mutant "an older entry counts" internal/fleet/directory.go \
   's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderWordChangesNothing
 mutant "a faulty entry is passed over" internal/fleet/directory.go \
@@ -146,21 +146,21 @@
 
 # The gateway, the director and the adapter.
 mutant "another request's answer is passed on" platform/upstream.go \
-  's/echoed != requestID && \(echoed != "" \|\| !refused\)/echoed != requestID \&\& false/' ./internal/gateway 'TestNonIdempotentIsSentOnce|TestStreamGoesOnElsewhere'
+  's/echoed != requestID && \(echoed != "" \|\| !refused\)/echoed != requestID \&\& false/' ./internal/gateway 'TestNonIdempotentIsSentOnce|TestStreamContinuesAtAnotherHead'
 mutant "a failed non-idempotent request goes out again" internal/gateway/attempt.go \
   's/fault\.Verdict != verdict\.NotRun && !j\.c\.Route\.Repeatable\(\)/false/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a request that may have run is answered 503" internal/gateway/attempt.go \
   's/if j\.mayHaveRun > 0 && fault\.Verdict == verdict\.NotRun/if false/; s/if fault\.Verdict != verdict\.NotRun \&\& fault\.Status == http\.StatusServiceUnavailable/if false/; s/Verdict: verdict\.MayHaveRun, Status: http\.StatusBadGateway/Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable/; s/j\.handleFailure\(ctx, s, verdict\.As\(err\)\)/j.handleFailure(ctx, s, \&verdict.Error{Verdict: verdict.NotRun, Status: 503, Code: "x"})/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a cut stream ends well" internal/gateway/handle.go \
-  's/if fault\.Code == codeAborted \{/if fault.Code == codeAborted {\n\t\treturn/' ./internal/gateway TestCutStreamNeverLooksWhole
+  's/if fault\.Code == codeAborted \{/if fault.Code == codeAborted {\n\t\treturn/' ./internal/gateway TestTruncatedStreamNeverLooksComplete
 mutant "a stream goes on with the wrong event" internal/gateway/attempt.go \
-  's/a\.LastEvent = j\.out\.lastEventID/a.LastEvent = "5"/' ./internal/gateway TestStreamGoesOnElsewhere
+  's/a\.LastEvent = j\.out\.lastEventID/a.LastEvent = "5"/' ./internal/gateway TestStreamContinuesAtAnotherHead
 mutant "a stalled head is waited for" internal/gateway/server.go \
-  's/one\.cancel\(cause\)/_ = one/' ./internal/gateway TestStreamGoesOnElsewhere
+  's/one\.cancel\(cause\)/_ = one/' ./internal/gateway TestStreamContinuesAtAnotherHead
 mutant "a silent stream is ended with nowhere to go" internal/gateway/server.go \
-  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithNowhereToGoIsWaitedFor
+  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithoutAlternativeContinues
 mutant "a slow call is ended with nowhere to go" internal/gateway/server.go \
-  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowAnswerWithNowhereToGoIsWaitedFor
+  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowCallWithoutAlternativeCompletes
 mutant "a node blames heads for its own standstill" internal/gateway/heldup.go \
   's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' ./test/integration TestPausedNodeBlamesNoHead
 mutant "a VM is lost though nobody answers" internal/director/reference.go \
@@ -174,17 +174,17 @@
 mutant "a second stop signal ends the waiting" internal/daemon/daemon.go \
   's/if s == syscall\.SIGINT/if true/' ./test/integration 'TestRepeatedSignalsCutNothing|TestRepeatedStopSignalsOfAnEntryCutNothing'
 mutant "a stop closes connections without a request at once" internal/callers/listener.go \
-  's/return l\.linger, true/return 0, true/' ./internal/gateway 'TestRequestsReadInAStopAreAnswered|TestAStreamOfBeforeAStopKeepsItsConnection'
+  's/return l\.linger, true/return 0, true/' ./internal/gateway 'TestRequestsReadDuringStopAreAnswered|TestStreamFromBeforeStopKeepsConnection'
 mutant "a limit does not look whether a request came" internal/callers/conn.go \
   's/if c\.changes != change \|\| c\.headWhole\(\)/if false/; s/if c\.expired \{\n\t\treturn false/if false {\n\t\treturn false/' ./internal/callers TestLimitSparesARequestThatWasRead
 mutant "a limit does not wait for the reader" internal/callers/conn.go \
   's/if waiting, _ := c\.peek\(\); waiting/if false/' ./internal/callers TestLimitSparesARequestThatWaits
 mutant "an answer in a stop does not say so" internal/gateway/handle.go \
-  's/w\.Header\(\)\.Set\("Connection", "close"\)/_ = w/' ./internal/gateway TestRequestsReadInAStopAreAnswered
+  's/w\.Header\(\)\.Set\("Connection", "close"\)/_ = w/' ./internal/gateway TestRequestsReadDuringStopAreAnswered
 mutant "a request that a stop would cut is begun" internal/gateway/stopping.go \
-  's/if stopDeadline == nil/if true/' ./internal/gateway TestRequestThatAStopWouldCutIsRefused
+  's/if stopDeadline == nil/if true/' ./internal/gateway TestRequestLongerThanStopIsRejected
 mutant "keys are honoured without a proof" internal/gateway/handle.go \
-  's/s\.config\.KeyProof > 0 && c\.CatalogAge > s\.config\.KeyProof/false/' ./internal/gateway TestKeysNeedAProof
+  's/s\.config\.KeyProof > 0 && c\.CatalogAge > s\.config\.KeyProof/false/' ./internal/gateway TestKeysNeedVerifiedCatalog
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
   's/c\.version <= old\.version/c.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverFalls
 mutant "the configuration is watched from its last change" platform/configuration.go \
@@ -210,9 +210,9 @@
 mutant "a group that is taken apart gets requests" internal/gateway/choose.go \
   's/ \|\| tt\.dissolving\[t\.group\]//' ./internal/gateway TestDissolvingGroupGetsNoRequests
 mutant "a doubted head gets all requests" internal/gateway/choose.go \
-  's/candidate\.target\.unresponsiveCount > 0 \&\& candidate\.target\.localInFlight > 0/false/' ./internal/gateway TestDoubtedHeadGetsOneRequest
+  's/candidate\.target\.unresponsiveCount > 0 \&\& candidate\.target\.localInFlight > 0/false/' ./internal/gateway TestUnresponsiveHeadGetsOneRequest
 mutant "a lost answer is waited for" internal/gateway/stalls.go \
-  's/now\.Sub\(s\.lastActivity\) > tt\.lostAfter\(s\)/false/' ./internal/gateway TestLostAnswerAtALivelyHead
+  's/now\.Sub\(s\.lastActivity\) > tt\.lostAfter\(s\)/false/' ./internal/gateway TestLostResponseAtActiveHead
 mutant "a silent leader is followed on" internal/feed/feed.go \
   's/l\.failedUntil\[leader\.ID\] = now\.Add\(failedFor\)//; s/q\.wait\+answerTime/time.Hour/; s/q\.wait\+mostTransfer/time.Hour/' ./internal/feed TestSilentLeader
 mutant "a leader out of touch is followed" internal/feed/feed.go \
@@ -254,12 +254,12 @@
 mutant "an entry keeps the connection of a request in chunks" internal/entry/server.go \
   's/if len\(r\.TransferEncoding\) > 0/if false/' ./internal/entry TestNothingHiddenBehindChunksIsServed
 mutant "silent nodes count until another is heard" internal/gateway/choose.go \
-  's/tt\.dropExpiredPeers\(now\)//' ./internal/gateway TestNodesThatFellSilentDontFillHeads
+  's/tt\.dropExpiredPeers\(now\)//' ./internal/gateway TestLoadsOfSilentNodesExpire
 mutant "free VMs are never kept" internal/placement/placement.go \
   's/if !ok \|\| d\.keepFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
 
 mutant "a first event is not predicted" internal/batch/batch.go \
-  's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestCrowdGetsItsAnswersInTime
+  's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestBurstIsServedInTime
 mutant "the offset is not learned" internal/batch/offset.go \
   's/if took > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
 mutant "late requests are taken like others" internal/batch/admit.go \
@@ -267,15 +267,15 @@
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
   's/r\.Kept \* float64/0 * float64/' ./internal/batch TestAdmit
 mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
-  's/return m\.typical - timeout/return 0/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
+  's/return m\.typical - timeout/return 0/' ./internal/gateway TestRetriesAreRecognizedByTimeout
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
-  's/if callers\.ClosedByCaller\(j\.r\)/if false \&\& callers.ClosedByCaller(j.r)/' ./internal/gateway TestCallersThatLeftWhileTheNodeWasHeldBack
+  's/if callers\.ClosedByCaller\(j\.r\)/if false \&\& callers.ClosedByCaller(j.r)/' ./internal/gateway TestCallersThatLeftWhileNodeWasStalled
 mutant "a request that is given up is delivered later" internal/relay/sender.go \
   's/c\.unanswered\.Store\(true\)//' ./internal/relay TestGivenUpRequestIsTakenBack
 mutant "overload is told as nothing that serves" internal/gateway/choose.go \
   's/case sel\.full:/case false:/' ./internal/gateway TestFullHeadsBesideASuspectedOneAreOverload
 mutant "sampled heads are of any failure domain" internal/gateway/choose.go \
-  's/if tt\.sample == 0 \{\n\t\treturn all/if true {\n\t\treturn all/' ./internal/gateway TestSampledHeadsAreMostlyNear
+  's/if tt\.sample == 0 \{\n\t\treturn all/if true {\n\t\treturn all/' ./internal/gateway TestSampledHeadsPreferOwnDomain
 mutant "a slow plain upstream gets as much as others" internal/gateway/predict.go \
   's/if t\.group != "" \|\|/if true ||/' ./internal/gateway TestSlowPlainUpstreamTakesLess
 mutant "a failed leader leaves no other" internal/feed/feed.go \
@@ -286,7 +286,7 @@
   's/b\.failures\+\+//' ./internal/wait TestBackoffGrowsToItsBound
 
 mutant "made-up models are counted" internal/gateway/demand.go \
-  's/if !tt\.servesModel\(c\)/if false/' ./internal/gateway TestMadeUpNamesLeaveNothingBehind
+  's/if !tt\.servesModel\(c\)/if false/' ./internal/gateway TestUnknownNamesLeaveNoState
 
 mutant "ends are not counted together" internal/quarantine/record.go \
   's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestNodesCountTogether
@@ -297,9 +297,9 @@
 mutant "an answer clears nothing" internal/quarantine/record.go \
   's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesAgree'
 mutant "a request in quarantine is sent" internal/gateway/suspects.go \
-  's/case j\.c\.quarantineVerdict\.Quarantined > 0:/case false:/' ./internal/gateway TestRequestThatCrashesUpstreamsEnds
+  's/case j\.c\.quarantineVerdict\.Quarantined > 0:/case false:/' ./internal/gateway TestCrashingRequestIsQuarantined
 mutant "ends of upstreams are attempts" internal/gateway/suspects.go \
-  's/j\.terminated\+\+\n/_ = j.terminated\n/' ./internal/gateway TestUpstreamsThatCrashCostNoAnswer
+  's/j\.terminated\+\+\n/_ = j.terminated\n/' ./internal/gateway TestRequestSurvivesUpstreamCrashes
 mutant "the table is not bounded" internal/quarantine/table.go \
   's/t\.bound\(mostProved/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
 mutant "news are not told" internal/quarantine/gossip.go \
@@ -319,7 +319,7 @@
 mutant "a hanging watch is waited for" internal/quarantine/archive.go \
   's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestWatchThatHangsIsLeft
 mutant "a suspension does not count" internal/clock/clock.go \
-  's/return now\.Add\(Suspended\(\)\)/return now/' ./internal/gateway 'TestKeysEndOverASuspension|TestTimeLeftOverASuspension'
+  's/return now\.Add\(Suspended\(\)\)/return now/' ./internal/gateway 'TestKeysExpireDuringSuspension|TestTimeLeftAfterSuspension'
 mutant "only members are named as leading" internal/cluster/share.go \
   's/for id, p := range c\.known \{\n\t\t_, member/for id, p := range map[string]*peer(nil) {\n\t\t_, member/' ./internal/cluster TestNodesThatCountDifferently
 
@@ -352,15 +352,15 @@
 mutant "a leader waits as long as it pauses" internal/feed/fleet.go \
   's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestProofIsYoungAtEachMoment
 mutant "the least known load is taken" internal/gateway/choose.go \
-  's/&& !tt\.loadsAreFresh\(now, hr\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestCrowdAtManyNodes
+  's/&& !tt\.loadsAreFresh\(now, hr\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestBurstAtManyNodes
 mutant "arrivals elsewhere are not expected" internal/gateway/divide.go \
-  's/total \+= d\.GetArrivals\(\)/total += 0/' ./internal/gateway TestCrowdAtManyNodes
+  's/total \+= d\.GetArrivals\(\)/total += 0/' ./internal/gateway TestBurstAtManyNodes
 mutant "callers come back at once" internal/gateway/room.go \
-  's/overloadRetrySpread = 3 \* time\.Second/overloadRetrySpread = time.Nanosecond/' ./internal/gateway TestCrowdThatComesBack
+  's/overloadRetrySpread = 3 \* time\.Second/overloadRetrySpread = time.Nanosecond/' ./internal/gateway TestBurstWithRetries
 mutant "patience is learned in a crowd" internal/gateway/predict.go \
-  's/if now\.Sub\(tt\.lastRejection\) > noRejectionPeriod \{/if true {/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
+  's/if now\.Sub\(tt\.lastRejection\) > noRejectionPeriod \{/if true {/' ./internal/gateway TestRetriesAreRecognizedByTimeout
 mutant "the part turned away outlasts its crowd" internal/gateway/choose.go \
-  's/tt\.recordRejectedShare\(hr\.key, 0\)//' ./internal/gateway TestCrowdThatEnds
+  's/tt\.recordRejectedShare\(hr\.key, 0\)//' ./internal/gateway TestRejectionsEndAfterBurst
 mutant "a node that knows nobody directs" internal/director/duty.go \
   's/return ok && now\.Sub\(known\) >= settleTime && /_, _ = known, ok\n\treturn /' ./internal/director TestNodeThatKnowsNobodyDirectsNothing
 mutant "a restart is the beginning" internal/director/place.go \
@@ -382,7 +382,7 @@
 mutant "heads are filled beyond their room" internal/spread/spread.go \
   's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
-  's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
+  's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestUpstreamLimitIsRespected
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
   's/if !heard \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
@@ -396,11 +396,11 @@
 mutant "backpressure: a limit is lost with its target" internal/gateway/condition.go \
   's/tt\.conditions\.Sweep\(/tt.conditions = backpressure.NewTable()\n\ttt.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
 mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
-  's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestLimitIsKeptByNodesThatAreToldOfIt
+  's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestReportedLimitIsRespected
 mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
-  's/\t\ttt\.conditions\.Unsent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
+  's/\t\ttt\.conditions\.Unsent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestFailedReservationLeavesLimitUnchanged
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
-  's/hold := tt\.throttle\(now, t, reserved\); hold\.Back/hold := tt.throttle(now, t, reserved); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
+  's/hold := tt\.throttle\(now, t, reserved\); hold\.Back/hold := tt.throttle(now, t, reserved); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoSlotReservedAtLimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
   's/needed := 1 \+ min\(reserve, mostReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
@@ -408,13 +408,13 @@
 mutant "backpressure: a word on a VM that is gone goes round for ever" internal/backpressure/table.go \
   's/!listed \|\| //' ./internal/backpressure TestWordOnAVMThatIsGoneEndsAtAllNodes
 mutant "backpressure: a rest is not kept" internal/backpressure/rest.go \
-  's/if now\.Before\(r\.until\) \{/if false {/' ./internal/gateway TestUpstreamThatAsksForRestIsLeftAlone
+  's/if now\.Before\(r\.until\) \{/if false {/' ./internal/gateway TestNoRequestsDuringBackoff
 mutant "backpressure: all come at once after a rest" internal/backpressure/rest.go \
   's/if r\.onTrial \{/if false {/' ./internal/backpressure TestAfterARestOneRequestGoesFirst
 mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
   's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestRestOfYearsIsBounded
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
-  's/ \|\| tt\.conditions\.Leaving\(incarnationOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
+  's/ \|\| tt\.conditions\.Leaving\(incarnationOf\(t\.vm\)\)//' ./internal/gateway TestReportedLeavingUpstreamGetsNoRequests
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
   's/\td\.leavers\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsWhateverItsEntrySays
 mutant "backpressure: what reports say is not heard" platform/engine.go \
