--- a/internal/gateway/adapted.go
+++ b/internal/gateway/adapted.go
@@ -36,11 +36,11 @@
 	}
 	s.statsPublishedAt = now
 	const percent = 100
-	for _, a := range s.targets.loadStats(now) {
-		s.metrics.Set("load.own."+a.model, int64(a.localRate))
-		s.metrics.Set("load.all."+a.model, int64(a.totalRate))
-		s.metrics.Set("load.turned_away."+a.model, int64(percent*a.rejectedShare))
-		s.metrics.Set("load.life_ms."+a.model, a.serviceTime.Milliseconds())
-		s.metrics.Set("load.offset_ms."+a.model, a.offset.Milliseconds())
+	for _, stats := range s.targets.loadStats(now) {
+		s.metrics.Set("load.own."+stats.model, int64(stats.localRate))
+		s.metrics.Set("load.all."+stats.model, int64(stats.totalRate))
+		s.metrics.Set("load.turned_away."+stats.model, int64(percent*stats.rejectedShare))
+		s.metrics.Set("load.life_ms."+stats.model, stats.serviceTime.Milliseconds())
+		s.metrics.Set("load.offset_ms."+stats.model, stats.offset.Milliseconds())
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -113,19 +113,19 @@
 // run sends the call until a response is complete or no further attempt is allowed. A nil result means
 // that the caller has received the response.
 func (j *job) run(ctx context.Context) *verdict.Error {
-	if fault := j.checkQuarantine(); fault != nil {
-		return fault
+	if failure := j.checkQuarantine(); failure != nil {
+		return failure
 	}
 	for {
 		if callers.ClosedByCaller(j.r) {
 			return j.finalError(callerLeftError())
 		}
-		fault := j.attempt(ctx)
-		if fault == nil {
+		failure := j.attempt(ctx)
+		if failure == nil {
 			return nil
 		}
-		j.lastFailure = fault
-		if stop := j.mayRepeat(ctx, fault); stop != nil {
+		j.lastFailure = failure
+		if stop := j.mayRepeat(ctx, failure); stop != nil {
 			j.releaseReservation()
 			return stop
 		}
@@ -133,17 +133,17 @@
 }
 
 // mayRepeat returns nil if the call may be sent again, and its final error otherwise.
-func (j *job) mayRepeat(ctx context.Context, fault *verdict.Error) *verdict.Error {
+func (j *job) mayRepeat(ctx context.Context, failure *verdict.Error) *verdict.Error {
 	now := clock.Now()
 	switch {
 	case ctx.Err() != nil:
 		return j.finalError(j.timeoutError(ctx))
-	case fault.Code == codeNoUpstream || fault.Code == codeOverload || fault.Code == codeThrottled:
-		return j.finalError(fault)
-	case fault.Verdict != verdict.NotRun && !j.c.Route.Repeatable():
-		return j.finalError(fault)
+	case failure.Code == codeNoUpstream || failure.Code == codeOverload || failure.Code == codeThrottled:
+		return j.finalError(failure)
+	case failure.Verdict != verdict.NotRun && !j.c.Route.Repeatable():
+		return j.finalError(failure)
 	case j.mayHaveRun-j.terminated >= j.c.Route.Attempts || j.sends-j.terminated >= j.c.Route.Attempts+extraRefusedSends || j.terminated > maxTerminations:
-		return j.finalError(fault)
+		return j.finalError(failure)
 	}
 	if quarantined := j.checkQuarantine(); quarantined != nil {
 		return j.finalError(quarantined)
@@ -155,8 +155,8 @@
 	j.repeatUse = j.s.targets.takeRepeat(now, j.c.Service, j.s.nodes())
 	if !j.repeatUse.Allowed {
 		j.logRepeatRefused()
-		fault.Detail += "; the budget for repeats is used up"
-		return j.finalError(fault)
+		failure.Detail += "; the budget for repeats is used up"
+		return j.finalError(failure)
 	}
 	return nil
 }
@@ -198,20 +198,20 @@
 
 // finalError converts the failure of an attempt to the result of the whole call. The call counts as not
 // run only if no attempt may have run.
-func (j *job) finalError(fault *verdict.Error) *verdict.Error {
+func (j *job) finalError(failure *verdict.Error) *verdict.Error {
 	if j.out != nil && j.out.started {
-		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: codeAborted, Detail: fault.Detail, Cause: fault}
+		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: codeAborted, Detail: failure.Detail, Cause: failure}
 	}
-	if j.mayHaveRun > 0 && fault.Verdict == verdict.NotRun {
-		fault.Verdict = verdict.MayHaveRun
+	if j.mayHaveRun > 0 && failure.Verdict == verdict.NotRun {
+		failure.Verdict = verdict.MayHaveRun
 	}
-	if fault.Verdict != verdict.NotRun && fault.Status == http.StatusServiceUnavailable {
-		fault.Status = http.StatusBadGateway
+	if failure.Verdict != verdict.NotRun && failure.Status == http.StatusServiceUnavailable {
+		failure.Status = http.StatusBadGateway
 	}
-	if fault.Verdict == verdict.NotRun && fault.Status == http.StatusServiceUnavailable && fault.RetryAfter == 0 {
-		fault.RetryAfter = j.s.retryAfter(j.c, allFull)
+	if failure.Verdict == verdict.NotRun && failure.Status == http.StatusServiceUnavailable && failure.RetryAfter == 0 {
+		failure.RetryAfter = j.s.retryAfter(j.c, allFull)
 	}
-	return fault
+	return failure
 }
 
 // attempt sends the call to one upstream and relays its response.
@@ -220,9 +220,9 @@
 	defer cancel(nil)
 	clock.Sync()
 	now := clock.Now()
-	s, evaluation, why := j.startSend(now, cancel)
-	if why != admitted {
-		return j.rejectionError(why, evaluation)
+	s, evaluation, reason := j.startSend(now, cancel)
+	if reason != admitted {
+		return j.rejectionError(reason, evaluation)
 	}
 	defer j.s.targets.finish(s)
 	j.sends++
@@ -293,26 +293,26 @@
 		Method:    j.c.Method,
 		Path:      j.c.Path + j.c.Query,
 		Host:      j.c.Host,
-		Header:    j.s.upstream.Header(j.c, a),
+		Header:    j.s.upstreamDialect.Header(j.c, a),
 		Body:      j.c.Body,
 		RequestID: j.c.ID,
 		Once:      !j.c.Route.Repeatable(),
 		Echo:      true,
-		Dialect:   j.s.upstream,
+		Dialect:   j.s.upstreamDialect,
 		Observe:   func(status int, h http.Header) { j.observeCondition(now, s, status, h) },
 	}
 }
 
 // rejectionError returns the error of a call for which no upstream was chosen.
-func (j *job) rejectionError(why refusal, evaluation evaluation) *verdict.Error {
+func (j *job) rejectionError(reason refusal, evaluation evaluation) *verdict.Error {
 	failure := &verdict.Error{
 		Verdict:    verdict.NotRun,
 		Status:     http.StatusServiceUnavailable,
 		Code:       codeNoUpstream,
 		Detail:     "no upstream serves the request at the moment",
-		RetryAfter: j.s.retryAfter(j.c, why),
+		RetryAfter: j.s.retryAfter(j.c, reason),
 	}
-	switch why {
+	switch reason {
 	case allFull:
 		failure.Code = codeOverload
 		failure.Detail = "all upstreams are overloaded"
@@ -330,26 +330,26 @@
 }
 
 // handleFailure handles an attempt that got no response.
-func (j *job) handleFailure(ctx context.Context, s *send, fault *verdict.Error) *verdict.Error {
-	if fault.Verdict != verdict.NotRun {
+func (j *job) handleFailure(ctx context.Context, s *send, failure *verdict.Error) *verdict.Error {
+	if failure.Verdict != verdict.NotRun {
 		j.mayHaveRun++
 	}
 	cause := context.Cause(ctx)
 	j.reserved = j.s.targets.takeReservation(s)
 	callerLeft := errors.Is(cause, context.Canceled)
-	stalled := fault.Code != relay.CodeBroken && j.s.targets.stalledDuring(clock.Now(), s)
-	if !callerLeft && !stalled && !errors.Is(cause, errQuarantined) && fault.Code != relay.CodeRefused {
-		j.eject(s, fault.Code != relay.CodeUnreachable)
+	stalled := failure.Code != relay.CodeBroken && j.s.targets.stalledDuring(clock.Now(), s)
+	if !callerLeft && !stalled && !errors.Is(cause, errQuarantined) && failure.Code != relay.CodeRefused {
+		j.eject(s, failure.Code != relay.CodeUnreachable)
 	}
 	if errors.Is(cause, errStalled) || errors.Is(cause, errSlowAttempt) || errors.Is(cause, errLostResponse) || errors.Is(cause, errRestarted) || errors.Is(cause, errQuarantined) {
-		fault.Detail = cause.Error()
-		fault.Status = http.StatusBadGateway
+		failure.Detail = cause.Error()
+		failure.Status = http.StatusBadGateway
 	}
-	j.logFailedAttempt(s, fault, cause)
-	if fault.Verdict != verdict.NotRun {
+	j.logFailedAttempt(s, failure, cause)
+	if failure.Verdict != verdict.NotRun {
 		j.checkTermination(ctx, s, cause)
 	}
-	return fault
+	return failure
 }
 
 // handleBroken handles a response that started but was not completed.
@@ -358,28 +358,28 @@
 		j.logCallerDisconnected(s, err)
 		panic(http.ErrAbortHandler)
 	}
-	fault := &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusBadGateway, Code: relay.CodeBroken,
+	failure := &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusBadGateway, Code: relay.CodeBroken,
 		Detail: "the response of the upstream was truncated", Cause: err}
 	if errors.Is(err, errPartialResponse) {
-		j.logFailedAttempt(s, fault, context.Cause(ctx))
+		j.logFailedAttempt(s, failure, context.Cause(ctx))
 		panic(http.ErrAbortHandler)
 	}
 	var status statusError
 	if errors.As(err, &status) {
-		fault.Code, fault.Detail, fault.Cause = codeUpstreamFailed, status.Error(), nil
+		failure.Code, failure.Detail, failure.Cause = codeUpstreamFailed, status.Error(), nil
 	}
 	cause := context.Cause(ctx)
 	j.reserved = j.s.targets.takeReservation(s)
 	if !errors.Is(cause, context.Canceled) && !errors.Is(cause, errQuarantined) {
 		j.eject(s, true)
 	}
-	j.logFailedAttempt(s, fault, cause)
-	if fault.Code == codeUpstreamFailed {
+	j.logFailedAttempt(s, failure, cause)
+	if failure.Code == codeUpstreamFailed {
 		j.recordCompletion()
-		return fault
+		return failure
 	}
 	j.checkTermination(ctx, s, cause)
-	return fault
+	return failure
 }
 
 func (j *job) eject(s *send, reached bool) {
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -71,11 +71,11 @@
 		Dict("budget", budgetFields(j.repeatUse)).Send()
 }
 
-func (j *job) logFailedAttempt(s *send, fault *verdict.Error, cause error) {
-	j.s.metrics.Count("attempts.failed."+fault.Code, 1)
+func (j *job) logFailedAttempt(s *send, failure *verdict.Error, cause error) {
+	j.s.metrics.Count("attempts.failed."+failure.Code, 1)
 	j.s.log.Emit(event.AttemptFailed).Str("request", j.c.ID).Stringer("fingerprint", j.c.fingerprint()).Int("send", j.sends).Str("vm", s.vm.ID).Str("group", s.target.group).
-		Str("code", fault.Code).Stringer("verdict", fault.Verdict).Str("detail", fault.Detail).
-		AnErr("ended_by", cause).AnErr("cause", fault.Cause).Send()
+		Str("code", failure.Code).Stringer("verdict", failure.Verdict).Str("detail", failure.Detail).
+		AnErr("ended_by", cause).AnErr("cause", failure.Cause).Send()
 }
 
 // logCallerDisconnected logs a response that can't be passed on because the caller's connection is broken.
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -37,12 +37,14 @@
 	// engine predicts the first events of a head; unset for a plain upstream.
 	engine batch.Engine
 
+	// localInFlight is the number of this node's requests in progress.
 	localInFlight int
 	// unreadTokens is the total of prompt tokens of this node's requests that have had no event yet.
 	unreadTokens float64
 	// startedStreams is the number of streams in progress that have had an event.
 	startedStreams int
 	lastActivity   time.Time
+	// meanPause is the smoothed pause between events, pauseDeviation its smoothed deviation.
 	meanPause      time.Duration
 	pauseDeviation time.Duration
 	suspectedUntil time.Time
@@ -268,8 +270,8 @@
 	}
 }
 
-// newTarget returns the target for a VM that accepts requests: any VM of a plain service, or the head of
-// an open group. It reports false for other VMs.
+// newTarget returns the target for a VM that accepts requests: any VM of a plain service, or the open
+// head of a group whose members are all present. It reports false for other VMs.
 func newTarget(service *catalog.Service, s *fleet.Snapshot, vm *fleet.VM) (*target, string, bool) {
 	if service.Engine == nil {
 		return &target{vm: vm, slots: max(vm.Slots, 1)}, "", true
@@ -299,6 +301,7 @@
 	}
 }
 
+// retainState returns the existing target, updated, if it is the same incarnation of the VM; next otherwise.
 func (tt *targetTable) retainState(next *target) *target {
 	old := tt.targets[next.key()]
 	if old == nil || !old.vm.SameLife(next.vm) {
--- a/internal/gateway/board_test.go
+++ b/internal/gateway/board_test.go
@@ -40,8 +40,8 @@
 func sendTo(tt *targetTable, now time.Time, c *Call, vm string) *send {
 	const attempts = 20
 	for range attempts {
-		s, _, why := tt.choose(now, c, nil, 0, false, func(error) {})
-		if why != admitted {
+		s, _, reason := tt.choose(now, c, nil, 0, false, func(error) {})
+		if reason != admitted {
 			return nil
 		}
 		if s.vm.ID == vm {
@@ -167,8 +167,8 @@
 	const room = 8
 	var waiting *send
 	for range 2 * 10 {
-		s, _, why := tt.choose(now, c, nil, room, false, func(error) {})
-		if why != admitted {
+		s, _, reason := tt.choose(now, c, nil, room, false, func(error) {})
+		if reason != admitted {
 			t.Fatal("no slot")
 		}
 		if waiting == nil {
@@ -202,8 +202,8 @@
 	tt.pools["llm"].heads["m"][0].suspectedUntil = now.Add(time.Second)
 	tt.pools["llm"].heads["m"][1].suspectedUntil = now.Add(time.Second)
 	tt.mu.Unlock()
-	if _, _, why := tt.choose(now, c, nil, 0, false, func(error) {}); why != noUpstream {
-		t.Errorf("with suspected heads only: %v", why)
+	if _, _, reason := tt.choose(now, c, nil, 0, false, func(error) {}); reason != noUpstream {
+		t.Errorf("with suspected heads only: %v", reason)
 	}
 	tt.mu.Lock()
 	for _, head := range tt.pools["llm"].heads["m"] {
@@ -213,8 +213,8 @@
 	}
 	tt.mu.Unlock()
 	for range 8 {
-		if _, _, why := tt.choose(now, c, nil, 0, false, func(error) {}); why != allFull {
-			t.Errorf("a full head beside a suspected one: %v, not overload", why)
+		if _, _, reason := tt.choose(now, c, nil, 0, false, func(error) {}); reason != allFull {
+			t.Errorf("a full head beside a suspected one: %v, not overload", reason)
 		}
 	}
 }
@@ -241,8 +241,8 @@
 	call := &Call{Service: "s", Model: "m", PromptTokens: 1000}
 	near := 0
 	for range requests {
-		s, _, why := tt.choose(now, call, nil, 0, false, func(error) {})
-		if why != admitted {
+		s, _, reason := tt.choose(now, call, nil, 0, false, func(error) {})
+		if reason != admitted {
 			t.Fatal("idle heads rejected a request")
 		}
 		if s.vm.FailureDomain == "x" {
@@ -254,7 +254,7 @@
 		t.Errorf("%d of %d requests stayed in their failure domain", near, requests)
 	}
 	for i := range (heads - 2) * fewNodes.engine.Slots {
-		if _, _, why := tt.choose(now, call, nil, 0, false, func(error) {}); why != admitted {
+		if _, _, reason := tt.choose(now, call, nil, 0, false, func(error) {}); reason != admitted {
 			t.Fatalf("request %d was rejected while other failure domains had free slots", i)
 		}
 	}
@@ -269,8 +269,8 @@
 		call := &Call{Service: "llm", Model: fmt.Sprint("made-up-", i), Patience: time.Second, Route: &catalog.Route{Name: fmt.Sprint(i)}}
 		tt.recordRequest(now, call)
 		tt.waitedBefore(now, call)
-		if _, _, why := tt.choose(now, call, nil, 0, false, func(error) {}); why != noUpstream {
-			t.Fatalf("a model that no upstream serves: %v", why)
+		if _, _, reason := tt.choose(now, call, nil, 0, false, func(error) {}); reason != noUpstream {
+			t.Fatalf("a model that no upstream serves: %v", reason)
 		}
 	}
 	state := &marbleroadv1.NodeState{}
@@ -285,16 +285,16 @@
 // their requests, took the heads that it still reached for full, and rejected its callers until the
 // partition healed.
 func TestLoadsOfSilentNodesExpire(t *testing.T) {
-	const liveFor = 1500 * time.Millisecond
+	const stateTTL = 1500 * time.Millisecond
 	start := time.Unix(1000, 0)
 	tt, c := newTestTable(t, start, noneDissolving)
 	tt.receiveState(start, &marbleroadv1.NodeState{Node: "p", FailureDomain: "x", Dissolving: []string{"gb"}, Loads: []*marbleroadv1.GroupLoad{
-		{Group: "ga", InFlight: 8}, {Group: "gb", InFlight: 8}}}, start, liveFor)
-	if _, _, why := tt.choose(start.Add(liveFor/2), c, nil, 0, false, func(error) {}); why != allFull {
-		t.Errorf("refusal %d while the state of the other node is valid, want allFull", why)
+		{Group: "ga", InFlight: 8}, {Group: "gb", InFlight: 8}}}, start, stateTTL)
+	if _, _, reason := tt.choose(start.Add(stateTTL/2), c, nil, 0, false, func(error) {}); reason != allFull {
+		t.Errorf("refusal %d while the state of the other node is valid, want allFull", reason)
 	}
 	for _, vm := range []string{"a", "b"} {
-		if s := sendTo(tt, start.Add(liveFor+time.Millisecond), c, vm); s == nil {
+		if s := sendTo(tt, start.Add(stateTTL+time.Millisecond), c, vm); s == nil {
 			t.Errorf("nothing is sent to %s although no node is known to load or dissolve it", vm)
 		}
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -63,13 +63,13 @@
 	resent := len(tried) > 0 || c.LastEvent != ""
 	selected := tt.selectTarget(now, candidates, headRequest{key: key, request: request, quarantineVerdict: c.quarantineVerdict, offset: tt.offset(key).Value(), resent: resent}, headroom)
 	selected.throttled = throttled
-	why := selected.refusal(p.service.Engine != nil)
-	if selected.predictedLate && why == allFull {
+	reason := selected.refusal(p.service.Engine != nil)
+	if selected.predictedLate && reason == allFull {
 		tt.offset(key).Ease()
 	}
-	if why != admitted {
+	if reason != admitted {
 		tt.lastRejection = now
-		return nil, selected.evaluation, why
+		return nil, selected.evaluation, reason
 	}
 	candidate := selected.scored[selected.best]
 	s := &send{target: candidate.target, vm: candidate.target.vm, cancel: cancel, sentAt: now, lastActivity: now, lastAttempt: lastAttempt, fingerprint: c.fingerprint(), quarantineVerdict: c.quarantineVerdict,
--- a/internal/gateway/choose_bench_test.go
+++ b/internal/gateway/choose_bench_test.go
@@ -34,8 +34,8 @@
 			call := &Call{Service: "s", Model: "m", PromptTokens: 1000, Arrived: now, Route: &catalog.Route{Objective: fewNodes.objective}}
 			b.ResetTimer()
 			for range b.N {
-				s, _, why := table.choose(now, call, nil, 0, false, func(error) {})
-				if why != admitted {
+				s, _, reason := table.choose(now, call, nil, 0, false, func(error) {})
+				if reason != admitted {
 					b.Fatal("refused")
 				}
 				table.finish(s)
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -112,7 +112,7 @@
 
 // observeCondition processes the upstream's condition in the header of a response.
 func (j *job) observeCondition(sent time.Time, s *send, status int, h http.Header) {
-	notice, err := j.s.upstream.Condition(status, h)
+	notice, err := j.s.upstreamDialect.Condition(status, h)
 	if err != nil {
 		j.s.reportUnreadable(incarnationOf(s.vm), j.c.ID, err)
 	}
@@ -180,9 +180,9 @@
 // HearVM processes the condition that a VM reports in a response to a probe or order of this node. A limit
 // or backoff is not lifted by such a response: it may come from a part of the VM that does not serve
 // requests.
-func (s *Server) HearVM(vm *fleet.VM, n backpressure.Notice, fault error) {
-	if fault != nil {
-		s.reportUnreadable(incarnationOf(vm), "", fault)
+func (s *Server) HearVM(vm *fleet.VM, n backpressure.Notice, err error) {
+	if err != nil {
+		s.reportUnreadable(incarnationOf(vm), "", err)
 	}
 	if n.Leaving {
 		s.recordLeaving(incarnationOf(vm), "")
@@ -190,13 +190,13 @@
 }
 
 // reportUnreadable logs a condition that can't be read, once per incarnation of a VM.
-func (s *Server) reportUnreadable(incarnation backpressure.Life, request string, fault error) {
+func (s *Server) reportUnreadable(incarnation backpressure.Life, request string, err error) {
 	s.metrics.Count("upstreams.conditions.unreadable", 1)
 	s.targets.mu.Lock()
 	first := s.targets.conditions.Unreadable(incarnation)
 	s.targets.mu.Unlock()
 	if first {
-		s.log.Emit(event.ConditionUnreadable).Str("vm", incarnation.VM).Int64("born", incarnation.Born).Str("request", request).Err(fault).Send()
+		s.log.Emit(event.ConditionUnreadable).Str("vm", incarnation.VM).Int64("born", incarnation.Born).Str("request", request).Err(err).Send()
 	}
 }
 
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -244,14 +244,14 @@
 	tt.recordRequest(c.now, &call)
 	call.Waited = tt.waitedBefore(c.now, &call)
 	const room = 5
-	s, _, why := tt.choose(c.now, &call, nil, room, false, func(error) {})
-	if why != admitted {
+	s, _, reason := tt.choose(c.now, &call, nil, room, false, func(error) {})
+	if reason != admitted {
 		if one.firstAttempt.Before(c.now) {
 			c.rejectedTwice++
 			return
 		}
 		c.retried++
-		c.schedule(c.servers[node].retryAfter(&call, why), func() { c.deliver(one) })
+		c.schedule(c.servers[node].retryAfter(&call, reason), func() { c.deliver(one) })
 		return
 	}
 	one.table, one.send = tt, s
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -40,11 +40,11 @@
 // closed reports whether the port of the VM is closed. It takes a round trip, or the timeout of the dialer
 // if nothing responds, which is no evidence that the VM terminated. Concurrent checks of the same address
 // share one connection attempt.
-func (e *portChecker) closed(ctx context.Context, vm *fleet.VM) bool {
-	c, first := e.check(clock.Now(), vm.Address)
+func (pc *portChecker) closed(ctx context.Context, vm *fleet.VM) bool {
+	c, first := pc.check(clock.Now(), vm.Address)
 	if first {
 		// The check must outlive this request, since others may wait for it.
-		c.closed = e.connectionRefused(context.WithoutCancel(ctx), vm.Address)
+		c.closed = pc.connectionRefused(context.WithoutCancel(ctx), vm.Address)
 		close(c.done)
 	}
 	select {
@@ -56,24 +56,24 @@
 }
 
 // check returns the latest check of an address. first is true if the caller must perform it.
-func (e *portChecker) check(now time.Time, address string) (c *portCheck, first bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for addr, existing := range e.checks {
+func (pc *portChecker) check(now time.Time, address string) (c *portCheck, first bool) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	for addr, existing := range pc.checks {
 		if now.Sub(existing.startedAt) > portCheckTTL {
-			delete(e.checks, addr)
+			delete(pc.checks, addr)
 		}
 	}
-	if existing := e.checks[address]; existing != nil {
+	if existing := pc.checks[address]; existing != nil {
 		return existing, false
 	}
 	c = &portCheck{startedAt: now, done: make(chan struct{})}
-	e.checks[address] = c
+	pc.checks[address] = c
 	return c, true
 }
 
-func (e *portChecker) connectionRefused(ctx context.Context, address string) bool {
-	conn, err := e.dialer.DialContext(ctx, "tcp", address)
+func (pc *portChecker) connectionRefused(ctx context.Context, address string) bool {
+	conn, err := pc.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
 		_ = conn.Close()
 		return false
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -23,22 +23,22 @@
 	clock.Sync()
 	arrived := clock.Now()
 	s.metrics.Count("requests", 1)
-	c, fault := s.caller.Read(r)
+	c, failure := s.callerDialect.Read(r)
 	c.Arrived = arrived
 	var j *job
-	if ambiguous := checkFraming(w, r); fault == nil {
-		fault = ambiguous
+	if ambiguous := checkFraming(w, r); failure == nil {
+		failure = ambiguous
 	}
-	if fault == nil {
-		fault = s.route(c)
+	if failure == nil {
+		failure = s.route(c)
 	}
-	if fault == nil {
-		fault = s.readBody(w, r, c)
+	if failure == nil {
+		failure = s.readBody(w, r, c)
 	}
-	if fault == nil {
-		j, fault = s.run(w, r, c)
+	if failure == nil {
+		j, failure = s.run(w, r, c)
 	}
-	s.finish(w, r, c, j, fault)
+	s.finish(w, r, c, j, failure)
 }
 
 // closeIfStopping sets "Connection: close" in a response that has not started yet if the node is stopping.
@@ -62,8 +62,8 @@
 		return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusNotFound, Code: codeNoRoute, Detail: "no route matches this host and path"}
 	}
 	c.Priority = c.Route.Priority
-	if fault := s.authenticate(c, current); fault != nil {
-		return fault
+	if failure := s.authenticate(c, current); failure != nil {
+		return failure
 	}
 	c.Service = c.Route.Pick(rand.Float64())
 	c.Deadline = c.Arrived.Add(c.Route.Timeout)
@@ -181,49 +181,49 @@
 
 // callerLeft reports whether the caller has disconnected. net/http also cancels the request's context when
 // the deadline for the body has passed.
-func callerLeft(r *http.Request, fault *verdict.Error) bool {
-	if fault.Code == codeCallerLeft {
+func callerLeft(r *http.Request, failure *verdict.Error) bool {
+	if failure.Code == codeCallerLeft {
 		return true
 	}
-	return errors.Is(r.Context().Err(), context.Canceled) && fault.Code != codeSlowBody
+	return errors.Is(r.Context().Err(), context.Canceled) && failure.Code != codeSlowBody
 }
 
 // finish logs the outcome and sends an error response if the call failed before the caller received one.
-func (s *Server) finish(w http.ResponseWriter, r *http.Request, c *Call, j *job, fault *verdict.Error) {
+func (s *Server) finish(w http.ResponseWriter, r *http.Request, c *Call, j *job, failure *verdict.Error) {
 	elapsed := clock.Since(c.Arrived)
 	name := ""
 	if c.Route != nil {
 		name = c.Route.Name
 	}
-	if fault == nil {
+	if failure == nil {
 		s.recordServed(c, j, elapsed)
 		return
 	}
-	s.metrics.Count("failed."+fault.Code, 1)
+	s.metrics.Count("failed."+failure.Code, 1)
 	s.metrics.Observe("request.failed", elapsed)
-	if callerLeft(r, fault) {
+	if callerLeft(r, failure) {
 		s.log.Emit(event.CallerLeft).Str("request", c.ID).Str("route", name).Dur("took_ms", elapsed).Send()
 		panic(http.ErrAbortHandler)
 	}
 	kind := event.RequestRefused
-	if fault.Verdict != verdict.NotRun {
+	if failure.Verdict != verdict.NotRun {
 		kind = event.RequestFailed
 	}
 	line := s.log.Emit(kind).Str("request", c.ID).Str("route", name).Str("team", c.Team).Str("service", c.Service).Str("model", c.Model).
-		Int("status", fault.Status).Str("code", fault.Code).Stringer("verdict", fault.Verdict).Str("detail", fault.Detail).
-		Dur("retry_after_ms", fault.RetryAfter).Dur("took_ms", elapsed).
-		Int64("waited_ms", c.Waited.Milliseconds()).Uint64("catalog", c.CatalogVersion).Int64("catalog_age_ms", c.CatalogAge.Milliseconds()).AnErr("cause", fault.Cause)
+		Int("status", failure.Status).Str("code", failure.Code).Stringer("verdict", failure.Verdict).Str("detail", failure.Detail).
+		Dur("retry_after_ms", failure.RetryAfter).Dur("took_ms", elapsed).
+		Int64("waited_ms", c.Waited.Milliseconds()).Uint64("catalog", c.CatalogVersion).Int64("catalog_age_ms", c.CatalogAge.Milliseconds()).AnErr("cause", failure.Cause)
 	if j != nil {
 		line = line.Int("sends", j.sends).Int("may_have_run", j.mayHaveRun).Stringer("fingerprint", c.fingerprint())
 	}
 	line.Send()
 	s.closeIfStopping(w)
-	if fault.Code == codeAborted {
+	if failure.Code == codeAborted {
 		// The caller has received a part of the stream, so only closing the connection can signal the
 		// failure.
 		panic(http.ErrAbortHandler)
 	}
-	s.caller.Refuse(w, c.ID, fault)
+	s.callerDialect.Refuse(w, c.ID, failure)
 }
 
 func (s *Server) recordServed(c *Call, j *job, elapsed time.Duration) {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -107,8 +107,8 @@
 		s := sendTo(tt, now, c, "b")
 		s.tried = make(map[string]bool)
 		s.tried[s.key()] = true
-		if kept := tt.reserve(now, s, 1); kept == limited {
-			t.Errorf("limited %v, slot reserved %v", limited, kept)
+		if reserved := tt.reserve(now, s, 1); reserved == limited {
+			t.Errorf("limited %v, slot reserved %v", limited, reserved)
 		}
 	}
 }
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -19,8 +19,8 @@
 	vms := map[string]*fleet.VM{"p": {ID: "p", Service: "llm", Born: 1, Membership: fleet.Membership{Group: "gp", Generation: 1, State: fleet.Open, Model: "m"}}}
 	tt.rebuild(catalog, fleet.NewSnapshot(vms, 2, now))
 	var cause error
-	s, _, why := tt.choose(now, c, nil, 0, false, func(err error) { cause = err })
-	if why != admitted {
+	s, _, reason := tt.choose(now, c, nil, 0, false, func(err error) { cause = err })
+	if reason != admitted {
 		t.Fatal("no VM accepts the request")
 	}
 	tt.recordFailure(now, s, false)
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -31,8 +31,8 @@
 	if s.started {
 		headroom = startedStreamHeadroom
 	}
-	next, evaluation, why := tt.chooseLocked(now, s.call, s.tried, headroom, false, noCancel)
-	if why != admitted {
+	next, evaluation, reason := tt.chooseLocked(now, s.call, s.tried, headroom, false, noCancel)
+	if reason != admitted {
 		return false
 	}
 	repeatUse := tt.budget(s.call.Service).Take(now, nodes)
--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -72,10 +72,10 @@
 
 // retryAfter returns the retry delay for a rejected call, spread so that rejected callers don't retry at
 // once.
-func (s *Server) retryAfter(c *Call, why refusal) time.Duration {
+func (s *Server) retryAfter(c *Call, reason refusal) time.Duration {
 	minDelay, spread := fullRetryAfter, fullRetryAfter
 	switch {
-	case why == noUpstream:
+	case reason == noUpstream:
 		minDelay, spread = noUpstreamRetryAfter, noUpstreamRetryAfter
 	case c != nil:
 		spread += time.Duration(s.targets.rejectedShare(c) * float64(overloadRetrySpread))
--- a/internal/gateway/room_test.go
+++ b/internal/gateway/room_test.go
@@ -53,17 +53,17 @@
 		Membership: fleet.Membership{Group: "g", Generation: 1, State: fleet.Open, Model: "m"}}}, 1, now))
 	send := func(priority int) refusal {
 		c := &Call{Service: "s", Model: "m", Priority: priority, Route: &route, Arrived: now}
-		_, _, why := s.targets.choose(now, c, nil, s.headroom(c), false, func(error) {})
-		return why
+		_, _, reason := s.targets.choose(now, c, nil, s.headroom(c), false, func(error) {})
+		return reason
 	}
 	admittedLow := 0
 	for send(3) == admitted {
 		admittedLow++
 	}
-	if why := send(1); why != admitted {
+	if reason := send(1); reason != admitted {
 		t.Errorf("the urgent request was rejected after %d others", admittedLow)
 	}
-	if why := send(3); why != allFull {
+	if reason := send(3); reason != allFull {
 		t.Errorf("a less urgent request was admitted to reserved slots")
 	}
 	if admittedLow < 10 {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -99,18 +99,18 @@
 
 // Server accepts and handles requests of callers.
 type Server struct {
-	config     Config
-	parts      Parts
-	log        *event.Logger
-	metrics    *metrics.Registry
-	catalog    *catalog.Keeper
-	caller     CallerDialect
-	upstream   UpstreamDialect
-	sender     *relay.Sender
-	ports      *portChecker
-	quarantine *quarantine.Table
-	pending    pendingTerminations
-	targets    *targetTable
+	config          Config
+	parts           Parts
+	log             *event.Logger
+	metrics         *metrics.Registry
+	catalog         *catalog.Keeper
+	callerDialect   CallerDialect
+	upstreamDialect UpstreamDialect
+	sender          *relay.Sender
+	ports           *portChecker
+	quarantine      *quarantine.Table
+	pending         pendingTerminations
+	targets         *targetTable
 
 	stopping atomic.Bool
 	// stopDeadline is when a shutdown cancels the requests still in progress. It is set when the server
@@ -134,19 +134,19 @@
 		p.Quarantine = quarantine.NewTable()
 	}
 	s := &Server{
-		config:     c,
-		parts:      p,
-		log:        p.Log,
-		metrics:    p.Metrics,
-		catalog:    p.Keeper,
-		caller:     p.Caller,
-		upstream:   p.Upstream,
-		sender:     relay.NewSender(upstreamDialer(c.Local), nil),
-		ports:      newPortChecker(upstreamDialer(c.Local)),
-		quarantine: p.Quarantine,
-		targets:    newTargetTable(c.FailureDomain, c.Repeats, p.Dissolving, clock.Now()),
-		workCtx:    workCtx,
-		cancelWork: cancelWork,
+		config:          c,
+		parts:           p,
+		log:             p.Log,
+		metrics:         p.Metrics,
+		catalog:         p.Keeper,
+		callerDialect:   p.Caller,
+		upstreamDialect: p.Upstream,
+		sender:          relay.NewSender(upstreamDialer(c.Local), nil),
+		ports:           newPortChecker(upstreamDialer(c.Local)),
+		quarantine:      p.Quarantine,
+		targets:         newTargetTable(c.FailureDomain, c.Repeats, p.Dissolving, clock.Now()),
+		workCtx:         workCtx,
+		cancelWork:      cancelWork,
 	}
 	if p.Sharing != nil {
 		s.targets.sharing = s.sharing
@@ -416,9 +416,9 @@
 // waited for.
 func (s *Server) moveAll(now time.Time, sends []*send, cause error) int {
 	moved := 0
-	for _, one := range sends {
-		if s.targets.reserve(now, one, s.nodes()) {
-			one.cancel(cause)
+	for _, sent := range sends {
+		if s.targets.reserve(now, sent, s.nodes()) {
+			sent.cancel(cause)
 			moved++
 		}
 	}
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -29,18 +29,18 @@
 type durationEstimate struct{ mean, deviation time.Duration }
 
 // record adds the duration of a successful call.
-func (s *routeDurations) record(route string, elapsed time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.routes == nil {
-		s.routes = make(map[string]*durationEstimate)
+func (d *routeDurations) record(route string, elapsed time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.routes == nil {
+		d.routes = make(map[string]*durationEstimate)
 	}
-	estimate := s.routes[route]
+	estimate := d.routes[route]
 	switch {
-	case estimate == nil && len(s.routes) >= maxMeters:
+	case estimate == nil && len(d.routes) >= maxMeters:
 		return
 	case estimate == nil:
-		s.routes[route] = &durationEstimate{mean: elapsed, deviation: elapsed / 2}
+		d.routes[route] = &durationEstimate{mean: elapsed, deviation: elapsed / 2}
 		return
 	}
 	difference := elapsed - estimate.mean
@@ -49,10 +49,10 @@
 }
 
 // typical returns how long a call of the route typically takes at most; false if none has succeeded yet.
-func (s *routeDurations) typical(route string) (time.Duration, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	estimate := s.routes[route]
+func (d *routeDurations) typical(route string) (time.Duration, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	estimate := d.routes[route]
 	if estimate == nil {
 		return 0, false
 	}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -44,11 +44,11 @@
 
 // trackQuarantine updates the counts of requests with terminations when a send starts (1) or finishes
 // (-1).
-func (t *target) trackQuarantine(one *send, delta int) {
-	if one.quarantineVerdict.Ends > 0 {
+func (t *target) trackQuarantine(s *send, delta int) {
+	if s.quarantineVerdict.Ends > 0 {
 		t.withTermination += delta
 	}
-	if one.quarantineVerdict.Suspected() {
+	if s.quarantineVerdict.Suspected() {
 		t.suspects += delta
 	}
 }
@@ -56,15 +56,15 @@
 // quarantinePenalty returns the penalty for a request with the given verdict due to the other requests at
 // the target. When requests that crash their VMs run among many that don't, the third VM that terminates
 // identifies the cause only if no other suspect was there.
-func (tt *targetTable) quarantinePenalty(t *target, judged quarantine.Verdict) float64 {
+func (tt *targetTable) quarantinePenalty(t *target, quarantineVerdict quarantine.Verdict) float64 {
 	suspects := t.suspects + tt.peerSuspects[t.group]
 	penalty := 0.0
-	if judged.Ends > 0 {
+	if quarantineVerdict.Ends > 0 {
 		penalty += spreadPenalty * float64(t.withTermination)
 	}
 	switch {
 	case suspects == 0:
-	case judged.Ends > 0:
+	case quarantineVerdict.Ends > 0:
 		penalty += separationPenalty
 	default:
 		penalty += besideSuspectPenalty
@@ -125,8 +125,8 @@
 	s.metrics.Count("quarantine.requests", 1)
 	running := s.targets.sendsOf(f)
 	s.log.Emit(event.RequestQuarantined).Stringer("fingerprint", f).Int("running_here", len(running)).Send()
-	for _, one := range running {
-		one.cancel(errQuarantined)
+	for _, sent := range running {
+		sent.cancel(errQuarantined)
 	}
 	s.parts.Nudge()
 }
@@ -191,20 +191,20 @@
 }
 
 // recheckTermination checks up to two more times whether a VM with a truncated response has terminated.
-func (s *Server) recheckTermination(send *send, delay time.Duration) {
-	s.pending.add(clock.Now(), send, false)
+func (s *Server) recheckTermination(sent *send, delay time.Duration) {
+	s.pending.add(clock.Now(), sent, false)
 	time.AfterFunc(delay, func() {
 		switch {
 		case s.workCtx.Err() != nil:
-		case s.ports.closed(s.workCtx, send.vm):
-			s.targets.ejectTerminated(clock.Now(), send)
-			if s.pending.take(send) {
-				s.recordTermination(send)
+		case s.ports.closed(s.workCtx, sent.vm):
+			s.targets.ejectTerminated(clock.Now(), sent)
+			if s.pending.take(sent) {
+				s.recordTermination(sent)
 			}
 		case delay < maxRecheckDelay:
-			s.recheckTermination(send, 4*delay)
+			s.recheckTermination(sent, 4*delay)
 		default:
-			s.pending.take(send)
+			s.pending.take(sent)
 		}
 	})
 }
@@ -221,12 +221,12 @@
 }
 
 // recordTermination attributes the termination of a VM to the request that it ran.
-func (s *Server) recordTermination(send *send) {
-	onlySuspect := s.targets.onlySuspect(send)
-	v := s.quarantine.Ended(clock.Now(), send.fingerprint, quarantine.LifeOf(send.vm.ID, send.vm.Born), onlySuspect)
+func (s *Server) recordTermination(sent *send) {
+	onlySuspect := s.targets.onlySuspect(sent)
+	v := s.quarantine.Ended(clock.Now(), sent.fingerprint, quarantine.LifeOf(sent.vm.ID, sent.vm.Born), onlySuspect)
 	s.metrics.Count("upstreams.ended", 1)
-	s.log.Emit(event.UpstreamEnded).Stringer("fingerprint", send.fingerprint).Str("vm", send.vm.ID).Int64("born", send.vm.Born).
-		Str("group", send.target.group).Uint64("generation", send.target.generation).Bool("begun", send.started).Bool("alone", onlySuspect).
+	s.log.Emit(event.UpstreamEnded).Stringer("fingerprint", sent.fingerprint).Str("vm", sent.vm.ID).Int64("born", sent.vm.Born).
+		Str("group", sent.target.group).Uint64("generation", sent.target.generation).Bool("begun", sent.started).Bool("alone", onlySuspect).
 		Int("ends", v.Ends).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
 }
 
@@ -236,8 +236,8 @@
 		return
 	}
 	snapshot := s.parts.Directory.Snapshot()
-	for _, one := range s.pending.confirmed(now, snapshot) {
-		s.recordTermination(one)
+	for _, sent := range s.pending.confirmed(now, snapshot) {
+		s.recordTermination(sent)
 	}
 }
 
--- a/internal/gateway/unproven.go
+++ b/internal/gateway/unproven.go
@@ -25,56 +25,56 @@
 }
 
 // add remembers a send.
-func (u *pendingTerminations) add(now time.Time, s *send, byList bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.sends == nil {
-		u.sends = make(map[*send]pendingTermination)
+func (p *pendingTerminations) add(now time.Time, s *send, byList bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.sends == nil {
+		p.sends = make(map[*send]pendingTermination)
 	}
-	if len(u.sends) < maxPendingTerminations {
-		u.sends[s] = pendingTermination{now, byList}
+	if len(p.sends) < maxPendingTerminations {
+		p.sends[s] = pendingTermination{now, byList}
 	}
 }
 
 // take removes a send. It reports false if the send was already removed.
-func (u *pendingTerminations) take(s *send) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	_, ok := u.sends[s]
-	delete(u.sends, s)
+func (p *pendingTerminations) take(s *send) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	_, ok := p.sends[s]
+	delete(p.sends, s)
 	return ok
 }
 
 // any reports whether there are any pending terminations.
-func (u *pendingTerminations) any() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return len(u.sends) > 0
+func (p *pendingTerminations) any() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.sends) > 0
 }
 
 // drop removes all sends of a request.
-func (u *pendingTerminations) drop(f quarantine.Fingerprint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for s := range u.sends {
+func (p *pendingTerminations) drop(f quarantine.Fingerprint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for s := range p.sends {
 		if s.fingerprint == f {
-			delete(u.sends, s)
+			delete(p.sends, s)
 		}
 	}
 }
 
 // confirmed removes and returns the sends whose VM has terminated, and removes those that are too old.
-func (u *pendingTerminations) confirmed(now time.Time, snapshot *fleet.Snapshot) []*send {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *pendingTerminations) confirmed(now time.Time, snapshot *fleet.Snapshot) []*send {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var out []*send
-	for s, pending := range u.sends {
+	for s, pending := range p.sends {
 		switch {
 		case pending.byList && snapshot != nil && terminationListed(snapshot, s.vm):
 			out = append(out, s)
-			delete(u.sends, s)
+			delete(p.sends, s)
 		case now.Sub(pending.since) > pendingTerminationTTL:
-			delete(u.sends, s)
+			delete(p.sends, s)
 		}
 	}
 	return out
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -148,19 +148,19 @@
 mutant "another request's answer is passed on" platform/upstream.go \
   's/echoed != requestID && \(echoed != "" \|\| !refused\)/echoed != requestID \&\& false/' ./internal/gateway 'TestNonIdempotentIsSentOnce|TestStreamContinuesAtAnotherHead'
 mutant "a failed non-idempotent request goes out again" internal/gateway/attempt.go \
-  's/fault\.Verdict != verdict\.NotRun && !j\.c\.Route\.Repeatable\(\)/false/' ./internal/gateway TestNonIdempotentIsSentOnce
+  's/failure\.Verdict != verdict\.NotRun && !j\.c\.Route\.Repeatable\(\)/false/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a request that may have run is answered 503" internal/gateway/attempt.go \
-  's/if j\.mayHaveRun > 0 && fault\.Verdict == verdict\.NotRun/if false/; s/if fault\.Verdict != verdict\.NotRun \&\& fault\.Status == http\.StatusServiceUnavailable/if false/; s/Verdict: verdict\.MayHaveRun, Status: http\.StatusBadGateway/Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable/; s/j\.handleFailure\(ctx, s, verdict\.As\(err\)\)/j.handleFailure(ctx, s, \&verdict.Error{Verdict: verdict.NotRun, Status: 503, Code: "x"})/' ./internal/gateway TestNonIdempotentIsSentOnce
+  's/if j\.mayHaveRun > 0 && failure\.Verdict == verdict\.NotRun/if false/; s/if failure\.Verdict != verdict\.NotRun \&\& failure\.Status == http\.StatusServiceUnavailable/if false/; s/Verdict: verdict\.MayHaveRun, Status: http\.StatusBadGateway/Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable/; s/j\.handleFailure\(ctx, s, verdict\.As\(err\)\)/j.handleFailure(ctx, s, \&verdict.Error{Verdict: verdict.NotRun, Status: 503, Code: "x"})/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a cut stream ends well" internal/gateway/handle.go \
-  's/if fault\.Code == codeAborted \{/if fault.Code == codeAborted {\n\t\treturn/' ./internal/gateway TestTruncatedStreamNeverLooksComplete
+  's/if failure\.Code == codeAborted \{/if failure.Code == codeAborted {\n\t\treturn/' ./internal/gateway TestTruncatedStreamNeverLooksComplete
 mutant "a stream goes on with the wrong event" internal/gateway/attempt.go \
   's/a\.LastEvent = j\.out\.lastEventID/a.LastEvent = "5"/' ./internal/gateway TestStreamContinuesAtAnotherHead
 mutant "a stalled head is waited for" internal/gateway/server.go \
-  's/one\.cancel\(cause\)/_ = one/' ./internal/gateway TestStreamContinuesAtAnotherHead
+  's/sent\.cancel\(cause\)/_ = sent/' ./internal/gateway TestStreamContinuesAtAnotherHead
 mutant "a silent stream is ended with nowhere to go" internal/gateway/server.go \
-  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithoutAlternativeContinues
+  's/if s\.targets\.reserve\(now, sent, s\.nodes\(\)\)/s.targets.reserve(now, sent, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithoutAlternativeContinues
 mutant "a slow call is ended with nowhere to go" internal/gateway/server.go \
-  's/if s\.targets\.reserve\(now, one, s\.nodes\(\)\)/s.targets.reserve(now, one, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowCallWithoutAlternativeCompletes
+  's/if s\.targets\.reserve\(now, sent, s\.nodes\(\)\)/s.targets.reserve(now, sent, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowCallWithoutAlternativeCompletes
 mutant "a node blames heads for its own standstill" internal/gateway/heldup.go \
   's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' ./test/integration TestPausedNodeBlamesNoHead
 mutant "a VM is lost though nobody answers" internal/director/reference.go \
