--- a/internal/director/answers.go
+++ b/internal/director/answers.go
@@ -36,9 +36,10 @@
 	}
 }
 
-// handleFailedReport processes a call for a report that failed. A failed query of a suspected VM
-// counts against it only if it is conclusive, or if another VM answered under its address; the
-// VM is then queried again.
+// handleFailedReport processes a call for a report that failed. A failed query of a reference
+// only selects another reference. A failed query of a suspected VM counts as a failure of the VM
+// only if it is conclusive, or if another VM answered under its address; in either case the VM
+// is queried again.
 func (s *state) handleFailedReport(now time.Time, m reportResult, v *vmState) {
 	switch {
 	case m.reason == forComparison:
--- a/internal/director/closing_test.go
+++ b/internal/director/closing_test.go
@@ -7,8 +7,8 @@
 	"github.com/marbleroad/marbleroad/internal/fleet"
 )
 
-// workDuration is how long the closing head has work in these tests: longer than six seconds, shorter
-// than the route's timeout.
+// workDuration is how long the closing head has work in these tests. It is longer than minCloseTime,
+// and shorter than the timeout of the route in testCatalog (12 s).
 const workDuration = 9 * time.Second
 
 // startClosingHead forms groups, gives one head work and has a member of its group leave, so that the
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -148,8 +148,8 @@
 	w.check(t)
 }
 
-// TestUnknownHeadKeepsServing: the same for a director that never saw the head, as after a restart
-// of all nodes.
+// TestUnknownHeadKeepsServing: as in TestUnreachableHeadKeepsServing the members must be used again, by a
+// director that never saw the head, as after a restart of all nodes.
 func TestUnknownHeadKeepsServing(t *testing.T) {
 	w := newWorld(t, 1, 5)
 	first := w.addNode(t, "n1")
--- a/internal/director/dissolve.go
+++ b/internal/director/dissolve.go
@@ -59,7 +59,8 @@
 	}
 	since := gs.incompleteSince
 	if gs.openSince.After(since) {
-		// A head that was opened while a member was missing breaks only after that.
+		// A head that was opened while a member was missing breaks within the stall bound
+		// after it was opened.
 		since = gs.openSince
 	}
 	return !gs.incompleteSince.IsZero() && now.Sub(since) > minWait
--- a/internal/director/duty.go
+++ b/internal/director/duty.go
@@ -8,8 +8,8 @@
 	"github.com/marbleroad/marbleroad/internal/event"
 )
 
-// managedDomains returns the failure domains whose groups this node must manage now. A node
-// that manages one keeps it; a domain without a manager falls to the preferred live node.
+// managedDomains returns the failure domains whose groups this node must manage now, as
+// shouldManage decides. There are none while the node stops or has not stabilized.
 func (s *state) managedDomains(now time.Time) []string {
 	if s.d.stopping.Load() || !s.stabilized(now) {
 		return nil
@@ -74,8 +74,13 @@
 	return out
 }
 
-// shouldManage reports whether this node must manage a failure domain. nodes are the live
-// nodes there.
+// shouldManage reports whether this node must manage a failure domain. claimedBy is the peer
+// that claims it, and nodes are the live nodes there.
+//
+// A node keeps a domain that it manages, unless a peer with a lower ID claims it too, or the
+// domain is not the node's own and has a live node again. A domain that nobody claims falls
+// to its own preferred live node. If it has had no live node for takeoverDelay, it falls to
+// the preferred one of all live nodes.
 func (s *state) shouldManage(now time.Time, domain, claimedBy string, nodes []cluster.Record, byDomain map[string][]cluster.Record) bool {
 	local := domain == s.d.config.FailureDomain
 	if s.manages(domain) {
@@ -108,6 +113,8 @@
 	return cluster.Record{ID: s.d.config.NodeID, Processor: s.d.config.Processor}
 }
 
+// manages reports whether this node manages the failure domain, as last published by
+// setManagedDomains.
 func (s *state) manages(domain string) bool {
 	for _, d := range s.d.Directing() {
 		if d == domain {
--- a/internal/director/formed_away_test.go
+++ b/internal/director/formed_away_test.go
@@ -10,7 +10,9 @@
 )
 
 // TestGroupFormedWhilePlatformUnreachableIsKept: a group that was formed while the platform was unreachable
-// was dissolved as soon as it opened, before its members' entries were listed again.
+// was dissolved as soon as it opened: until the members' entries are listed again, the group in the fleet's
+// snapshot holds only its head, and the other members counted as lost. recordOpened must record the
+// members that the group was formed of.
 func TestGroupFormedWhilePlatformUnreachableIsKept(t *testing.T) {
 	w := newWorld(t, 1, 2)
 	n := w.addNode(t, "n1")
--- a/internal/director/groups.go
+++ b/internal/director/groups.go
@@ -167,7 +167,8 @@
 		Str("model", f.model.Name).Strs("members", f.members).Send()
 }
 
-// openHead sends the order to open a head: one at a time, with a pause between them.
+// openHead sends the order to open a head, if the VM is ready for an order. It sends no further
+// one for orderRetryDelay.
 func (s *state) openHead(now time.Time, head *fleet.VM, name string, generation uint64) {
 	if !s.readyForOrder(now, head) {
 		return
@@ -188,7 +189,7 @@
 	s.vmCalls.report(vm, forProgress)
 }
 
-// reasonMemberLeaving is why a formation is abandoned whose members all still work.
+// reasonMemberLeaving is the reason for abandoning a formation of which all members still work.
 const reasonMemberLeaving = "a member is leaving"
 
 // abandon gives up a group that this director was forming. Its head leaves first, so that a
--- a/internal/director/herd_test.go
+++ b/internal/director/herd_test.go
@@ -95,9 +95,9 @@
 }
 
 // TestMassRestartLimitsLoads: all nodes restarted while callers were active. None of them had seen a
-// request since, so they assumed the time before the first callers, when loads are fast and not
-// limited. Within a second 24 VMs without a copy were ordered to load weights, where 6 load at full
-// speed: each load took many times as long as a single one, and lost groups waited behind them.
+// request since, so they acted as if no callers had arrived yet, when loads are fast and not limited.
+// Within a second 24 VMs without a copy were ordered to load weights, where 6 load at full speed: each
+// load took many times as long as a single one, and lost groups waited behind them.
 func TestMassRestartLimitsLoads(t *testing.T) {
 	w := newMultiDomainWorld(t, 3, 24)
 	w.run(14*time.Second, func() bool { return false })
@@ -164,8 +164,8 @@
 }
 
 // TestTrafficBeforeFirstLoadsLimitsLoads: groups were planned before the first callers, without a limit
-// on loads, and callers arrived while the VMs were still being sent to them. Directors of a thousand
-// VMs each continued, and 1,000 loads and more started within seconds, where four a second may.
+// on loads, and callers arrived before all VMs had been sent to their groups. Directors of a thousand
+// VMs each continued, and 1,000 loads and more started within seconds, where four may start a second.
 func TestTrafficBeforeFirstLoadsLimitsLoads(t *testing.T) {
 	w := newMultiDomainWorld(t, 3, 24)
 	planned := func() bool {
--- a/internal/director/lives.go
+++ b/internal/director/lives.go
@@ -22,7 +22,8 @@
 }
 
 // acceptReportIncarnation records the incarnation that a report belongs to. It returns false
-// for a report that was requested from a previous incarnation.
+// for a report of another incarnation that was requested before the VM's entry was seen: the
+// report is from a previous incarnation.
 func (s *state) acceptReportIncarnation(now time.Time, v *vmState, m reportResult) bool {
 	born := m.report.Born
 	switch {
--- a/internal/director/reference_test.go
+++ b/internal/director/reference_test.go
@@ -28,10 +28,10 @@
 	w.check(t)
 }
 
-// TestDirectorWithoutResponsesMarksNoVMLost: beside a busy VM the streams of a head stalled for 0.35 s. The
-// director queried the group's members, whose responses took longer than the two attempts of 0.2 s
-// that each had, as did those of all VMs. It dissolved the group with all its streams, and their load
-// made the next heads stall: all 48 groups were dissolved within 10 s, and 930 requests failed.
+// TestDirectorWithoutResponsesMarksNoVMLost: the streams of a head beside a busy VM stalled for 0.35 s. The
+// director queried the group's members, with two attempts of 0.2 s each. All VMs took longer than
+// that to respond, these members too. The director dissolved the group with all its streams, and their
+// load made the next heads stall: all 48 groups were dissolved within 10 s, and 930 requests failed.
 func TestDirectorWithoutResponsesMarksNoVMLost(t *testing.T) {
 	w := newWorld(t, 2, 8)
 	w.entryLife = 20 * time.Second
--- a/internal/director/state.go
+++ b/internal/director/state.go
@@ -33,7 +33,8 @@
 		requestedAt time.Time
 		reason      reportReason
 	}
-	// orderResult is the result of an order.
+	// orderResult is the result of an order. started is true if the VM reports that it started
+	// to carry the order out, and false if the VM is in the requested state already.
 	orderResult struct {
 		vm      *fleet.VM
 		order   engine.GroupOrder
@@ -80,8 +81,8 @@
 	// stallBoundMargin is added to the stall bound before the members of an unreachable head
 	// are used again.
 	stallBoundMargin = 500 * time.Millisecond
-	// maxOrderDelay is how long after it was sent an unanswered order may still be carried out,
-	// as the platform specifies.
+	// maxOrderDelay is the longest time after which an order that got no response may still be
+	// carried out, counted from when it was sent, as the platform specifies.
 	maxOrderDelay = 12 * time.Second
 	// confirmInterval is the time between two queries of a member without an entry.
 	confirmInterval = time.Second
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// membership returns a VM's membership by its newest report: its entry, or its answer to a
-// query.
+// membership returns a VM's membership from the newer of its entry and its response to the
+// last query.
 func (s *state) membership(vm *fleet.VM) fleet.Membership {
 	v := s.vms[vm.ID]
 	if v != nil && (v.reportRequestedAt.After(v.entrySeenAt) || v.isEntryOutdated(vm.Membership)) {
@@ -170,9 +170,10 @@
 	s.releaseIfHeadLeft(name, gs, s.membership(head))
 }
 
-// completeAgain reports whether every member of an incomplete group has reported since then
-// that it is in the group. A report may be some hundred milliseconds old; one from before a
-// member joined caused a serving head to be treated as broken.
+// completeAgain reports whether a group that is marked incomplete has all its members: each
+// has an entry or a report from after incompleteSince that shows it in the group. Reports may
+// be some hundred milliseconds old, so the mark may come from one that precedes the member's
+// join; such a mark caused a serving head to be treated as broken.
 func (s *state) completeAgain(name string, gs *groupState) bool {
 	g := s.snapshot.Groups[name]
 	if g == nil {
