--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -80,24 +80,24 @@
 	nodes.Exchange(quarantine.NewGossip(suspects, b.log))
 	archive := quarantine.NewArchive(suspects, store, b.log, leader.Reads, clock.Now)
 	server = gateway.NewServer(b.gatewayConfig(), gateway.Parts{
-		Log:        b.log,
-		Metrics:    b.metrics,
-		Tracer:     b.tracer,
-		Keeper:     keeper,
-		Directory:  directory,
-		Caller:     platform.Caller{},
-		Upstream:   platform.Upstream{},
-		Nodes:      nodes.Counted,
-		LiveFor:    nodes.LiveFor,
-		Suspect:    func(group string, generation uint64) { groups.Suspect(group, generation) },
-		Sharing:    func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
-		StepDown:   func() { groups.StepDown() },
-		Dissolving: func() []string { return groups.Dissolving() },
-		Nudge:      nodes.Nudge,
-		Quarantine: suspects,
+		Log:             b.log,
+		Metrics:         b.metrics,
+		Tracer:          b.tracer,
+		Catalog:         keeper,
+		Directory:       directory,
+		Caller:          platform.Caller{},
+		Upstream:        platform.Upstream{},
+		Nodes:           nodes.Counted,
+		StateTTL:        nodes.LiveFor,
+		Suspect:         func(group string, generation uint64) { groups.Suspect(group, generation) },
+		Sharing:         func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
+		StepDown:        func() { groups.StepDown() },
+		Dissolving:      func() []string { return groups.Dissolving() },
+		TriggerExchange: nodes.Nudge,
+		Quarantine:      suspects,
 	})
 	engines := platform.NewEngine(newTransport(s.Cluster.Listen, reportIdle, &b.peers.Traffic.Upstreams))
-	engines.OnCondition(server.HearVM)
+	engines.OnCondition(server.ObserveVM)
 	groups = director.New(director.Config{
 		NodeID:        s.Node.ID,
 		FailureDomain: s.Node.FailureDomain,
@@ -113,7 +113,7 @@
 		Nodes:    nodes,
 		Demand:   server,
 	})
-	nodes.OnPeer(server.Hear)
+	nodes.OnPeer(server.ReceiveState)
 	nodes.ServeFeed(&feed.Server{Directory: directory, Keeper: keeper})
 	keeper.OnChange(server.Rebuild)
 	keeper.OnReturn(archive.Refresh)
@@ -138,7 +138,7 @@
 			startup.Part{Name: "configuration", There: func() bool { return keeper.Catalog() != nil }},
 			startup.Part{Name: "upstreams", There: func() bool { return directory.Snapshot() != nil }},
 			startup.Part{Name: "nodes", There: func() bool { return nodes.Counted() > 0 }},
-			startup.Part{Name: "keys", There: server.KeysProven},
+			startup.Part{Name: "keys", There: server.KeysVerified},
 			startup.Part{Name: "groups", There: server.HasGroups},
 		),
 		operators,
@@ -178,7 +178,7 @@
 		BalancerDelay: s.Gateway.BalancerDelay,
 		ShutdownLimit: s.Gateway.StopGrace - s.Gateway.BalancerDelay - stopMargin,
 		Linger:        s.Gateway.Linger,
-		KeyProof:      proof,
+		RevokeBound:   proof,
 		Repeats: retry.Limit{
 			Ratio:  s.Gateway.RepeatRatio,
 			Extra:  s.Gateway.RepeatExtra,
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -284,7 +284,7 @@
 )
 
 func (j *job) outgoing(now time.Time, s *send) relay.Outgoing {
-	a := Attempt{VM: s.vm.ID, Left: j.c.Deadline.Sub(now)}
+	a := Attempt{VM: s.vm.ID, TimeLeft: j.c.Deadline.Sub(now)}
 	if j.out != nil {
 		a.LastEvent = j.out.lastEventID
 	}
@@ -388,6 +388,6 @@
 	}
 	if !reached && s.target.group != "" {
 		j.s.parts.Suspect(s.target.group, s.target.generation)
-		j.s.parts.Nudge()
+		j.s.parts.TriggerExchange()
 	}
 }
--- a/internal/gateway/board_test.go
+++ b/internal/gateway/board_test.go
@@ -266,7 +266,7 @@
 	now := time.Now()
 	tt, _ := newTestTable(t, now, noneDissolving)
 	for i := range 2 * maxMeters {
-		call := &Call{Service: "llm", Model: fmt.Sprint("made-up-", i), Patience: time.Second, Route: &catalog.Route{Name: fmt.Sprint(i)}}
+		call := &Call{Service: "llm", Model: fmt.Sprint("made-up-", i), CallerTimeout: time.Second, Route: &catalog.Route{Name: fmt.Sprint(i)}}
 		tt.recordRequest(now, call)
 		tt.waitedBefore(now, call)
 		if _, _, reason := tt.choose(now, call, nil, 0, false, func(error) {}); reason != noUpstream {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -31,8 +31,8 @@
 	Header http.Header
 	Body   []byte
 	Key    string
-	// Patience is the caller's timeout; zero if the caller sent none.
-	Patience time.Duration
+	// CallerTimeout is the caller's timeout; zero if the caller sent none.
+	CallerTimeout time.Duration
 	// Model is the requested model; empty for plain services.
 	Model string
 	// PromptTokens and MaxTokens are the caller's token counts; zero when unknown.
@@ -77,8 +77,8 @@
 type Attempt struct {
 	// VM is the ID of the only VM that may run the request.
 	VM string
-	// Left is the time left until the deadline.
-	Left time.Duration
+	// TimeLeft is the time left until the deadline.
+	TimeLeft time.Duration
 	// LastEvent is the ID of the last event that the caller has. The response continues after it.
 	LastEvent string
 }
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -131,7 +131,7 @@
 	change := j.s.targets.recordCondition(clock.Now(), sent, s, notice)
 	j.s.logLimitChange(change, incarnationOf(s.vm), notice.Limit, 0, j.c.ID)
 	if change == backpressure.LimitNamed || change == backpressure.LimitEnded {
-		j.s.parts.Nudge()
+		j.s.parts.TriggerExchange()
 	}
 }
 
@@ -177,10 +177,10 @@
 	return strings.Join(parts, ", ")
 }
 
-// HearVM processes the condition that a VM reports in a response to a probe or order of this node. A limit
+// ObserveVM processes the condition that a VM reports in a response to a probe or order of this node. A limit
 // or backoff is not lifted by such a response: it may come from a part of the VM that does not serve
 // requests.
-func (s *Server) HearVM(vm *fleet.VM, n backpressure.Notice, err error) {
+func (s *Server) ObserveVM(vm *fleet.VM, n backpressure.Notice, err error) {
 	if err != nil {
 		s.reportUnreadable(incarnationOf(vm), "", err)
 	}
@@ -215,7 +215,7 @@
 func (s *Server) takeOutOfService(incarnation backpressure.Life, request string) {
 	s.parts.Directory.Leaving(incarnation.VM, incarnation.Born)
 	s.log.Emit(event.UpstreamLeaving).Str("vm", incarnation.VM).Int64("born", incarnation.Born).Str("request", request).Bool("told", request == "").Send()
-	s.parts.Nudge()
+	s.parts.TriggerExchange()
 }
 
 // logLimitChange logs a change of a VM's limit. age is the time since the limit was reported; request is
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -227,7 +227,7 @@
 		firstAttempt:   c.now,
 		timeout:        burstTimeout - time.Duration(c.random.Float64()*float64(c.site.timeoutSpread)),
 		responseTokens: 1 + int(c.random.ExpFloat64()*c.engine.UsualAnswer),
-		call: &Call{Service: "s", Model: "m", Patience: burstTimeout, Route: &catalog.Route{Name: "r", Objective: c.site.objective},
+		call: &Call{Service: "s", Model: "m", CallerTimeout: burstTimeout, Route: &catalog.Route{Name: "r", Objective: c.site.objective},
 			PromptTokens: 40 + int(min(c.random.ExpFloat64(), 4)*c.engine.UsualPrompt)},
 	}
 	c.deliver(one)
@@ -240,7 +240,7 @@
 	tt := c.tables[node]
 	call := *one.call
 	call.Arrived = c.now
-	call.Patience = one.timeout - c.now.Sub(one.firstAttempt)
+	call.CallerTimeout = one.timeout - c.now.Sub(one.firstAttempt)
 	tt.recordRequest(c.now, &call)
 	call.Waited = tt.waitedBefore(c.now, &call)
 	const room = 5
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -173,7 +173,7 @@
 // TestKeysNeedVerifiedCatalog: while the store is unreachable for longer than the bound, keys are
 // rejected. Public routes, and the routes themselves, stay in use.
 func TestKeysNeedVerifiedCatalog(t *testing.T) {
-	s := newTestSite(t, options{keyProof: 400 * time.Millisecond})
+	s := newTestSite(t, options{revokeBound: 400 * time.Millisecond})
 	s.store.SetDown(true)
 	waitFor(t, "keys to be refused", func() bool {
 		return s.send(t, http.MethodGet, "/read/x", nil).StatusCode == http.StatusServiceUnavailable
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -67,8 +67,8 @@
 	}
 	c.Service = c.Route.Pick(rand.Float64())
 	c.Deadline = c.Arrived.Add(c.Route.Timeout)
-	if c.Patience > 0 && c.Patience < c.Route.Timeout {
-		c.Deadline = c.Arrived.Add(c.Patience)
+	if c.CallerTimeout > 0 && c.CallerTimeout < c.Route.Timeout {
+		c.Deadline = c.Arrived.Add(c.CallerTimeout)
 	}
 	return s.rejectIfStopping(c)
 }
@@ -79,7 +79,7 @@
 	if c.Route.Public || !current.KeysAsked() {
 		return nil
 	}
-	if s.config.KeyProof > 0 && c.CatalogAge > s.config.KeyProof {
+	if s.config.RevokeBound > 0 && c.CatalogAge > s.config.RevokeBound {
 		return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: codeUnverifiedKeys,
 			Detail: "the platform has been unreachable for too long to verify keys", RetryAfter: s.retryAfter(c, noUpstream)}
 	}
@@ -162,7 +162,7 @@
 func (s *Server) run(w http.ResponseWriter, r *http.Request, c *Call) (*job, *verdict.Error) {
 	if s.targets.recordRequest(c.Arrived, c) {
 		// Directors may start any number of loads until the first request arrives.
-		s.parts.Nudge()
+		s.parts.TriggerExchange()
 	}
 	c.Waited = s.targets.waitedBefore(c.Arrived, c)
 	ctx, span := s.parts.Tracer.Start(s.parts.Tracer.Extract(r.Context(), r.Header), "request", trace.SpanKindServer,
--- a/internal/gateway/patience_test.go
+++ b/internal/gateway/patience_test.go
@@ -16,7 +16,7 @@
 	route := &catalog.Route{Name: "r"}
 	waited := func(timeout time.Duration) time.Duration {
 		now = now.Add(10 * time.Millisecond)
-		return tt.waitedBefore(now, &Call{Route: route, Patience: timeout})
+		return tt.waitedBefore(now, &Call{Route: route, CallerTimeout: timeout})
 	}
 	for i := range 200 {
 		waited(6*time.Second - time.Duration(i%7)*time.Millisecond)
@@ -48,14 +48,14 @@
 	for range callers {
 		now = now.Add(250 * time.Millisecond)
 		timeout := 5100*time.Millisecond + time.Duration(random.Float64()*float64(900*time.Millisecond))
-		if tt.waitedBefore(now, &Call{Route: &catalog.Route{Name: "r"}, Patience: timeout}) > objective {
+		if tt.waitedBefore(now, &Call{Route: &catalog.Route{Name: "r"}, CallerTimeout: timeout}) > objective {
 			late++
 		}
 	}
 	if late > callers/50 {
 		t.Errorf("%d of %d first attempts count as late", late, callers)
 	}
-	if got := tt.waitedBefore(now, &Call{Route: &catalog.Route{Name: "r"}, Patience: 4600 * time.Millisecond}); got < 500*time.Millisecond {
+	if got := tt.waitedBefore(now, &Call{Route: &catalog.Route{Name: "r"}, CallerTimeout: 4600 * time.Millisecond}); got < 500*time.Millisecond {
 		t.Errorf("a caller with 0.5 s less than all others counts as having waited %v", got)
 	}
 }
--- a/internal/gateway/predict.go
+++ b/internal/gateway/predict.go
@@ -107,7 +107,7 @@
 		tt.callerTimeouts[c.Route.Name] = m
 	}
 	if now.Sub(tt.lastRejection) > noRejectionPeriod {
-		m.record(c.Patience)
+		m.record(c.CallerTimeout)
 	}
-	return m.waited(c.Patience)
+	return m.waited(c.CallerTimeout)
 }
--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -64,8 +64,8 @@
 func (s *Server) retryAfterWait(c *Call, wait time.Duration) time.Duration {
 	wait = max(wait, fullRetryAfter)
 	delay := wait + s.targets.jitter(wait)
-	if c.Patience > 0 {
-		delay = min(delay, c.Patience/retryAfterDivisor)
+	if c.CallerTimeout > 0 {
+		delay = min(delay, c.CallerTimeout/retryAfterDivisor)
 	}
 	return delay
 }
@@ -81,8 +81,8 @@
 		spread += time.Duration(s.targets.rejectedShare(c) * float64(overloadRetrySpread))
 	}
 	delay := minDelay + s.targets.jitter(spread)
-	if c != nil && c.Patience > 0 {
-		delay = min(delay, c.Patience/retryAfterDivisor)
+	if c != nil && c.CallerTimeout > 0 {
+		delay = min(delay, c.CallerTimeout/retryAfterDivisor)
 	}
 	return delay
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -62,10 +62,10 @@
 	// Linger is how long a shutdown then keeps idle connections open, since their callers may not have
 	// noticed it yet.
 	Linger time.Duration
-	// KeyProof is the maximum time since the catalog was last verified to be the newest for keys to be
+	// RevokeBound is the maximum time since the catalog was last verified to be the newest for keys to be
 	// accepted; zero for no limit.
-	KeyProof time.Duration
-	Repeats  retry.Limit
+	RevokeBound time.Duration
+	Repeats     retry.Limit
 }
 
 // Parts holds the dependencies of the gateway.
@@ -73,14 +73,14 @@
 	Log       *event.Logger
 	Metrics   *metrics.Registry
 	Tracer    *tracing.Tracer
-	Keeper    *catalog.Keeper
+	Catalog   *catalog.Keeper
 	Directory *fleet.Directory
 	Caller    CallerDialect
 	Upstream  UpstreamDialect
 	// Nodes returns the number of nodes that may share the budget for repeats; 0 while it is unknown.
 	Nodes func() int
-	// LiveFor returns how long the state of another node is valid.
-	LiveFor func() time.Duration
+	// StateTTL returns how long the state of another node is valid.
+	StateTTL func() time.Duration
 	// Suspect is called with heads that are silent or unreachable.
 	Suspect func(group string, generation uint64)
 	// Dissolving returns the groups that this node is dissolving.
@@ -90,8 +90,8 @@
 	Sharing func(domain string) backpressure.Sharing
 	// StepDown is called when a shutdown starts.
 	StepDown func()
-	// Nudge triggers an immediate exchange of this node's state.
-	Nudge func()
+	// TriggerExchange triggers an immediate exchange of this node's state.
+	TriggerExchange func()
 	// Quarantine tracks the requests under which upstreams terminated; if nil, the gateway creates a
 	// table.
 	Quarantine *quarantine.Table
@@ -138,7 +138,7 @@
 		parts:           p,
 		log:             p.Log,
 		metrics:         p.Metrics,
-		catalog:         p.Keeper,
+		catalog:         p.Catalog,
 		callerDialect:   p.Caller,
 		upstreamDialect: p.Upstream,
 		sender:          relay.NewSender(upstreamDialer(c.Local), nil),
@@ -152,7 +152,7 @@
 		s.targets.sharing = s.sharing
 	}
 	p.Quarantine.OnQuarantine(s.quarantined)
-	p.Quarantine.OnProved(p.Nudge)
+	p.Quarantine.OnProved(p.TriggerExchange)
 	return s
 }
 
@@ -254,12 +254,12 @@
 	return true, ""
 }
 
-// KeysProven reports whether callers' keys can be checked against the current configuration.
-func (s *Server) KeysProven() bool {
+// KeysVerified reports whether callers' keys can be checked against the current configuration.
+func (s *Server) KeysVerified() bool {
 	if s.catalog.Catalog() == nil {
 		return false
 	}
-	return s.config.KeyProof == 0 || s.catalog.ProvenAge(clock.Now()) <= s.config.KeyProof
+	return s.config.RevokeBound == 0 || s.catalog.ProvenAge(clock.Now()) <= s.config.RevokeBound
 }
 
 // HasGroups reports whether each model of the configuration has a group that accepts requests. It is true
@@ -330,9 +330,9 @@
 	}
 }
 
-// Hear processes the state of another node, or a hub's aggregate of many, received at the given time.
-func (s *Server) Hear(state *marbleroadv1.NodeState, receivedAt time.Time) {
-	s.targets.receiveState(clock.Now(), state, receivedAt, s.parts.LiveFor())
+// ReceiveState processes the state of another node, or a hub's aggregate of many, received at the given time.
+func (s *Server) ReceiveState(state *marbleroadv1.NodeState, receivedAt time.Time) {
+	s.targets.receiveState(clock.Now(), state, receivedAt, s.parts.StateTTL())
 	s.receiveConditions(state, receivedAt)
 	for _, suspicion := range state.GetSuspicions() {
 		s.parts.Suspect(suspicion.GetGroup(), suspicion.GetGeneration())
@@ -408,7 +408,7 @@
 		s.parts.Suspect(stall.group, stall.generation)
 	}
 	if len(stalls) > 0 {
-		s.parts.Nudge()
+		s.parts.TriggerExchange()
 	}
 }
 
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -46,7 +46,7 @@
 }
 
 type options struct {
-	keyProof time.Duration
+	revokeBound time.Duration
 	// heads is the number of heads, 0 for two.
 	heads int
 	// pause is the time between two events of a stream, 0 for one millisecond.
@@ -94,12 +94,12 @@
 	}
 	s.server = gateway.NewServer(gateway.Config{
 		FailureDomain: "a", Listen: s.listen, ReadyListen: "127.0.0.1:0", ReadyPath: platform.ReadyPath, Local: "127.0.0.1:0",
-		BalancerDelay: time.Millisecond, ShutdownLimit: cmp.Or(o.stopLimit, waitLimit), Linger: o.linger, KeyProof: o.keyProof,
+		BalancerDelay: time.Millisecond, ShutdownLimit: cmp.Or(o.stopLimit, waitLimit), Linger: o.linger, RevokeBound: o.revokeBound,
 		Repeats: repeats,
 	}, gateway.Parts{
-		Log: log, Metrics: metrics.NewRegistry(), Tracer: tracing.Off(), Keeper: keeper, Directory: directory,
-		Caller: platform.Caller{}, Upstream: platform.Upstream{}, Nodes: func() int { return 1 }, LiveFor: func() time.Duration { return time.Second },
-		Suspect: func(string, uint64) {}, Dissolving: func() []string { return nil }, StepDown: func() {}, Nudge: func() {},
+		Log: log, Metrics: metrics.NewRegistry(), Tracer: tracing.Off(), Catalog: keeper, Directory: directory,
+		Caller: platform.Caller{}, Upstream: platform.Upstream{}, Nodes: func() int { return 1 }, StateTTL: func() time.Duration { return time.Second },
+		Suspect: func(string, uint64) {}, Dissolving: func() []string { return nil }, StepDown: func() {}, TriggerExchange: func() {},
 	})
 	keeper.OnChange(s.server.Rebuild)
 	directory.OnChange(func(*fleet.Snapshot) { s.server.Rebuild() })
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -128,7 +128,7 @@
 	for _, sent := range running {
 		sent.cancel(errQuarantined)
 	}
-	s.parts.Nudge()
+	s.parts.TriggerExchange()
 }
 
 // checkQuarantine rejects a quarantined request, or a suspect one that is being tried, and records the
@@ -186,7 +186,7 @@
 	}
 	if s.target.group != "" {
 		j.s.parts.Suspect(s.target.group, s.target.generation)
-		j.s.parts.Nudge()
+		j.s.parts.TriggerExchange()
 	}
 }
 
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -14,7 +14,7 @@
 // verifying the catalog. The monotonic clock did not count that time, so the last verification looked
 // recent, and a key that had been revoked meanwhile was accepted.
 func TestKeysExpireDuringSuspension(t *testing.T) {
-	s := newTestSite(t, options{keyProof: 5 * time.Second})
+	s := newTestSite(t, options{revokeBound: 5 * time.Second})
 	if resp := s.send(t, http.MethodGet, "/read/a", nil); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d before", resp.StatusCode)
 	}
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -14,7 +14,7 @@
 none|README.md|
 prediction|internal/batch/batch.go|s/return e.Slots > 0 \&\& e.StepTime/return false \&\& e.Slots > 0 \&\& e.StepTime/
 passes-seen|internal/gateway/predict.go|s/if t.passSeen(now) {/if false \&\& t.passSeen(now) {/
-returning-callers-last|internal/gateway/predict.go|s/spent := m.waited(c.Patience)/spent := 0 * m.waited(c.Patience)/
+returning-callers-last|internal/gateway/predict.go|s/spent := m.waited(c.CallerTimeout)/spent := 0 * m.waited(c.CallerTimeout)/
 own-failure-domain-first|internal/gateway/choose.go|s/remoteDomainPasses = 0.5/remoteDomainPasses = 0.0/
 rank-reserve|internal/gateway/room.go|s/rankReserve = 0.1/rankReserve = 0.0/
 stall-watch|internal/gateway/stalls.go|s/if silent < tt.stallAfter(now, t) {/if silent < time.Hour || silent < tt.stallAfter(now, t) {/
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -184,7 +184,7 @@
 mutant "a request that a stop would cut is begun" internal/gateway/stopping.go \
   's/if stopDeadline == nil/if true/' ./internal/gateway TestRequestLongerThanStopIsRejected
 mutant "keys are honoured without a proof" internal/gateway/handle.go \
-  's/s\.config\.KeyProof > 0 && c\.CatalogAge > s\.config\.KeyProof/false/' ./internal/gateway TestKeysNeedVerifiedCatalog
+  's/s\.config\.RevokeBound > 0 && c\.CatalogAge > s\.config\.RevokeBound/false/' ./internal/gateway TestKeysNeedVerifiedCatalog
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
   's/c\.version <= old\.version/c.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverFalls
 mutant "the configuration is watched from its last change" platform/configuration.go \
