--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -14,12 +14,12 @@
 none|README.md|
 prediction|internal/batch/batch.go|s/return e.Slots > 0 \&\& e.StepTime/return false \&\& e.Slots > 0 \&\& e.StepTime/
 passes-seen|internal/gateway/predict.go|s/if t.passSeen(now) {/if false \&\& t.passSeen(now) {/
-returning-callers-last|internal/gateway/predict.go|s/spent := m.waited(c.CallerTimeout)/spent := 0 * m.waited(c.CallerTimeout)/
+returning-callers-last|internal/gateway/predict.go|s/return m.waited(c.CallerTimeout)/return 0 * m.waited(c.CallerTimeout)/
 own-failure-domain-first|internal/gateway/choose.go|s/remoteDomainPasses = 0.5/remoteDomainPasses = 0.0/
 rank-reserve|internal/gateway/room.go|s/rankReserve = 0.1/rankReserve = 0.0/
-stall-watch|internal/gateway/stalls.go|s/if silent < tt.stallAfter(now, t) {/if silent < time.Hour || silent < tt.stallAfter(now, t) {/
+stall-watch|internal/gateway/stalls.go|s/if silent < max(tt.stallAfter(now, t), minSilence) {/if silent < time.Hour || silent < max(tt.stallAfter(now, t), minSilence) {/
 stalls-of-other-nodes|internal/gateway/stalls.go|s/if t.group != group || (t.localInFlight/if true || t.group != group || (t.localInFlight/
-lost-answers|internal/gateway/stalls.go|s/if !s.lastAttempt \&\& now.Sub/if false \&\& !s.lastAttempt \&\& now.Sub/
+lost-answers|internal/gateway/stalls.go|s/if s.movable() \&\& now.Sub(s.lastActivity) >/if false \&\& s.movable() \&\& now.Sub(s.lastActivity) >/
 ejection|internal/gateway/board.go|s/if t.failures < failuresToEject ||/if true || t.failures < failuresToEject ||/
 doubted-heads|internal/gateway/choose.go|s/if candidate.target.unresponsiveCount > 0 \&\& candidate.target.localInFlight > 0 {/if false \&\& candidate.target.localInFlight > 0 {/
 cut-off-domains|internal/gateway/choose.go|s/partitionedPenalty = 1.5/partitionedPenalty = 0.0/
