--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -33,11 +33,11 @@
 	minWait time.Duration
 }
 
-func (h *throttledTargets) add(wait time.Duration) {
-	if h.count == 0 || wait < h.minWait {
-		h.minWait = wait
+func (t *throttledTargets) add(wait time.Duration) {
+	if t.count == 0 || wait < t.minWait {
+		t.minWait = wait
 	}
-	h.count++
+	t.count++
 }
 
 // candidates returns the targets that a call may be sent to, and counts the throttled ones. reserved is
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -142,7 +142,7 @@
 	return data, nil
 }
 
-// headerBytes returns the approximate size of the request's head on the wire.
+// headerBytes returns the approximate size of the request line and the header on the wire.
 func headerBytes(r *http.Request) int {
 	const separators = 4
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -117,11 +117,13 @@
 	// stops accepting connections; nil before.
 	stopDeadline atomic.Pointer[time.Time]
 	durations    routeDurations
-	workCtx      context.Context
-	cancelWork   context.CancelFunc
+	// workCtx is canceled by cancelWork at the end of a shutdown, which cancels all requests in progress.
+	workCtx    context.Context
+	cancelWork context.CancelFunc
 
-	callers    *callers.Server
-	ready      *http.Server
+	callers     *callers.Server
+	readyServer *http.Server
+	// background counts the goroutines that Stop waits for.
 	background sync.WaitGroup
 	// statsPublishedAt is when the load metrics were last updated. Only watchStalls uses it.
 	statsPublishedAt time.Time
@@ -178,12 +180,12 @@
 	}
 	ready, err := net.Listen("tcp", s.config.ReadyListen)
 	if err != nil {
-		return errors.Wrap(err, "listen for the balancer")
+		return errors.Wrap(err, "listen for the load balancer")
 	}
 	errorLog := log.New(errorLogWriter{s.log}, "", 0)
 	s.callers = s.newCallerServer(listener, errorLog)
-	s.ready = &http.Server{
-		Handler:           http.HandlerFunc(s.answerReady),
+	s.readyServer = &http.Server{
+		Handler:           http.HandlerFunc(s.handleReady),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          errorLog,
@@ -191,7 +193,7 @@
 	s.background.Add(1)
 	go s.watchStalls()
 	go s.serve(s.callers.Serve)
-	go s.serve(func() error { return s.ready.Serve(ready) })
+	go s.serve(func() error { return s.readyServer.Serve(ready) })
 	return nil
 }
 
@@ -232,12 +234,12 @@
 type errorLogWriter struct{ log *event.Logger }
 
 // Write implements io.Writer.
-func (f errorLogWriter) Write(p []byte) (int, error) {
+func (w errorLogWriter) Write(p []byte) (int, error) {
 	kind := event.ListenerFault
 	if bytes.Contains(p, []byte("panic serving")) {
 		kind = event.HandlerPanicked
 	}
-	f.log.Emit(kind).Str("text", strings.TrimSpace(string(p))).Send()
+	w.log.Emit(kind).Str("text", strings.TrimSpace(string(p))).Send()
 	return len(p), nil
 }
 
@@ -276,7 +278,7 @@
 	return true
 }
 
-func (s *Server) answerReady(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleReady(w http.ResponseWriter, r *http.Request) {
 	s.metrics.Set("catalog.age_ms", s.catalog.ProvenAge(clock.Now()).Milliseconds())
 	if r.URL.Path != s.config.ReadyPath {
 		http.NotFound(w, r)
@@ -312,7 +314,7 @@
 	s.cancelWork()
 	closing, cancelClosing := context.WithTimeout(context.Background(), closeLimit)
 	defer cancelClosing()
-	err = errors.CombineErrors(s.callers.Stop(closing), s.ready.Close())
+	err = errors.CombineErrors(s.callers.Stop(closing), s.readyServer.Close())
 	s.background.Wait()
 	return err
 }
