--- a/internal/control/account.go
+++ b/internal/control/account.go
@@ -7,8 +7,9 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// account adds up group downtime and stranded VMs.
-func (s *state) account(now time.Time, snapshot *view.Snapshot) {
+// trackDowntime adds the time since the last tick to the totals of group downtime and stranded
+// VM time, and sets their metrics.
+func (s *state) trackDowntime(now time.Time, snapshot *view.Snapshot) {
 	elapsed := now.Sub(s.lastTick).Seconds()
 	if s.lastTick.IsZero() {
 		elapsed = 0
@@ -17,7 +18,7 @@
 	seen := make(map[string]bool)
 	for _, p := range snapshot.Plans {
 		for _, g := range p.Groups {
-			verdict := groups.Eligible(p, g, s.k.board, snapshot.Leaving, now, s.k.config.Window)
+			verdict := groups.Eligible(p, g, s.k.registry, snapshot.Leaving, now, s.k.config.Window)
 			seen[g.ID] = true
 			if verdict.Reason == groups.Serving {
 				delete(s.downSince, g.ID)
@@ -26,7 +27,7 @@
 			if _, ok := s.downSince[g.ID]; !ok {
 				s.downSince[g.ID] = now
 			}
-			stranded += s.strandedIn(p, g)
+			stranded += s.countStranded(p, g)
 		}
 	}
 	for id := range s.downSince {
@@ -34,8 +35,8 @@
 			delete(s.downSince, id)
 		}
 	}
-	for _, w := range snapshot.Wants {
-		down += max(w.Replicas-len(servingOf(snapshot, w)), 0)
+	for _, row := range snapshot.Wants {
+		down += max(row.Replicas-len(servingGroups(snapshot, row)), 0)
 	}
 	s.downSeconds += float64(down) * elapsed
 	s.strandedSeconds += float64(stranded) * elapsed
@@ -45,12 +46,12 @@
 	s.k.parts.Metrics.Set("vms.stranded_seconds", int64(s.strandedSeconds))
 }
 
-// servingOf lists the serving groups of one row.
-func servingOf(snapshot *view.Snapshot, w view.Want) []string {
+// servingGroups lists the IDs of the serving groups of one row.
+func servingGroups(snapshot *view.Snapshot, row view.Want) []string {
 	var out []string
-	for _, u := range snapshot.Services[w.Service].Upstreams {
+	for _, u := range snapshot.Services[row.Service].Upstreams {
 		for _, p := range snapshot.Plans {
-			if g, ok := p.Group(u.ID); ok && g.Row == w.Name {
+			if g, ok := p.Group(u.ID); ok && g.Row == row.Name {
 				out = append(out, u.ID)
 			}
 		}
@@ -58,8 +59,8 @@
 	return out
 }
 
-// strandedIn counts the present VMs of a group that does not serve.
-func (s *state) strandedIn(p *groups.Plan, g groups.Group) int {
+// countStranded counts the present VMs of a group that does not serve.
+func (s *state) countStranded(p *groups.Plan, g groups.Group) int {
 	n := 0
 	for _, vm := range p.Members(g) {
 		if _, missing := s.missingSince[vm]; vm != "" && !missing {
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -19,12 +19,12 @@
 const (
 	// maxEdits bounds the edits of one sheet.
 	maxEdits = 5000
-	// applyParallel is how many rows of one sheet are written at once.
-	applyParallel = 8
+	// maxParallelWrites is the number of rows of one sheet that are written concurrently.
+	maxParallelWrites = 8
 )
 
-// Apply implements OperatorService. All edits are checked before any is
-// written, so a sheet with faults changes nothing.
+// Apply implements OperatorService. All edits are checked before any is written, so a sheet
+// with an invalid edit changes nothing.
 func (h operatorHandler) Apply(ctx context.Context, r *connect.Request[marbleroadv1.ApplyRequest]) (*connect.Response[marbleroadv1.ApplyResponse], error) {
 	m := r.Msg
 	if m.GetChangeId() == "" || len(m.GetEdits()) > maxEdits {
@@ -38,7 +38,7 @@
 		return connect.NewResponse(&marbleroadv1.ApplyResponse{Results: results}), nil
 	}
 	var group sync.WaitGroup
-	slots := make(chan struct{}, applyParallel)
+	slots := make(chan struct{}, maxParallelWrites)
 	for i, e := range edits {
 		group.Add(1)
 		slots <- struct{}{}
@@ -52,40 +52,40 @@
 	return connect.NewResponse(&marbleroadv1.ApplyResponse{Results: results}), nil
 }
 
-// checkedEdit is one edit whose cells have been parsed.
+// checkedEdit is an edit together with the row parsed from its cells.
 type checkedEdit struct {
 	message *marbleroadv1.RowEdit
 	row     *table.Row
 }
 
-func result(e *marbleroadv1.RowEdit, outcome marbleroadv1.Outcome, message string) *marbleroadv1.RowResult {
+func rowResult(e *marbleroadv1.RowEdit, outcome marbleroadv1.Outcome, message string) *marbleroadv1.RowResult {
 	return &marbleroadv1.RowResult{Sheet: e.GetSheet(), Name: e.GetName(), Outcome: outcome, Message: message}
 }
 
-// checkEdits parses all cells and reports every fault of the sheet.
+// checkEdits parses all cells and reports every validation error of the sheet.
 func (k *Control) checkEdits(edits []*marbleroadv1.RowEdit) ([]checkedEdit, []*marbleroadv1.RowResult, bool) {
 	out := make([]checkedEdit, len(edits))
 	results := make([]*marbleroadv1.RowResult, len(edits))
-	after := k.rowsAfter(edits, out, results)
+	after := k.tableAfter(edits, out, results)
 	ok := true
 	for i, e := range edits {
 		if results[i] == nil && !e.GetDelete() {
 			if err := table.CheckReferences(out[i].row, after); err != nil {
-				results[i] = result(e, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error())
+				results[i] = rowResult(e, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error())
 			}
 		}
 		if results[i] != nil {
 			ok = false
 			continue
 		}
-		results[i] = result(e, marbleroadv1.Outcome_OUTCOME_UNSPECIFIED, "")
+		results[i] = rowResult(e, marbleroadv1.Outcome_OUTCOME_UNSPECIFIED, "")
 	}
 	return out, results, ok
 }
 
-// rowsAfter parses the edits into out, notes faults in results and returns
-// the table as it would stand after all edits.
-func (k *Control) rowsAfter(edits []*marbleroadv1.RowEdit, out []checkedEdit, results []*marbleroadv1.RowResult) map[string]*table.Row {
+// tableAfter parses the edits into out, records validation errors in results and returns the
+// table as it would be after all edits.
+func (k *Control) tableAfter(edits []*marbleroadv1.RowEdit, out []checkedEdit, results []*marbleroadv1.RowResult) map[string]*table.Row {
 	after := make(map[string]*table.Row)
 	for _, it := range k.items.List(item.TablePrefix) {
 		row, err := table.Decode(it.Value)
@@ -98,11 +98,11 @@
 		key := table.Key(table.SheetName(e.GetSheet()), e.GetName())
 		row, err := parseEdit(e, after[key])
 		if err == nil && seen[key] {
-			err = errors.New("the row stands twice in this change")
+			err = errors.New("the row occurs twice in this change")
 		}
 		seen[key] = true
 		if err != nil {
-			results[i] = result(e, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error())
+			results[i] = rowResult(e, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error())
 			continue
 		}
 		out[i] = checkedEdit{message: e, row: row}
@@ -114,8 +114,8 @@
 	return after
 }
 
-// parseEdit builds the row that the edit asks for. Columns that are not named
-// keep their cell, or take the default in a new row.
+// parseEdit builds the row that results from the edit. Columns that the edit does not name keep
+// their cell, or take the default in a new row.
 func parseEdit(e *marbleroadv1.RowEdit, current *table.Row) (*table.Row, error) {
 	sheet, err := table.Lookup(table.SheetName(e.GetSheet()))
 	if err != nil {
@@ -134,38 +134,39 @@
 	if e.GetDelete() {
 		return row, nil
 	}
-	var faults error
+	var validationErr error
 	for _, c := range e.GetCells() {
 		if err := sheet.Set(row, c.GetColumn(), c.GetText()); err != nil {
-			faults = joinFaults(faults, err)
+			validationErr = joinErrors(validationErr, err)
 		}
 	}
-	if faults == nil {
-		faults = sheet.Check(row)
+	if validationErr == nil {
+		validationErr = sheet.Check(row)
 	}
-	return row, faults
+	return row, validationErr
 }
 
-func joinFaults(a, b error) error {
+func joinErrors(a, b error) error {
 	if a == nil {
 		return b
 	}
 	return errors.Newf("%s; %s", a.Error(), b.Error())
 }
 
-// maxRaces bounds how often a forced edit is tried against other writers.
-const maxRaces = 5
+// maxEditAttempts bounds how often an edit is attempted when other writers change the row in
+// between.
+const maxEditAttempts = 5
 
 // applyEdit writes one row by a conditional update.
 func (k *Control) applyEdit(ctx context.Context, m *marbleroadv1.ApplyRequest, e checkedEdit) *marbleroadv1.RowResult {
-	for range maxRaces {
-		res, again := k.tryEdit(ctx, m, e)
-		if !again {
+	for range maxEditAttempts {
+		res, retry := k.attemptEdit(ctx, m, e)
+		if !retry {
 			k.logResult(m, res)
 			return res
 		}
 	}
-	return result(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "other writers were faster each time; try again")
+	return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "other writers changed the row during each attempt; try again")
 }
 
 func (k *Control) logResult(m *marbleroadv1.ApplyRequest, r *marbleroadv1.RowResult) {
@@ -181,24 +182,24 @@
 		Str("sheet", r.GetSheet()).Str("row", r.GetName()).Uint64("version", r.GetVersion()).Send()
 }
 
-// tryEdit makes one attempt; again is true when the store's object changed in
-// between and the edit has to be looked at anew.
-func (k *Control) tryEdit(ctx context.Context, m *marbleroadv1.ApplyRequest, e checkedEdit) (res *marbleroadv1.RowResult, again bool) {
+// attemptEdit makes one attempt to write the edit. retry is true when the stored object changed
+// in between and the edit must be checked against the new one.
+func (k *Control) attemptEdit(ctx context.Context, m *marbleroadv1.ApplyRequest, e checkedEdit) (res *marbleroadv1.RowResult, retry bool) {
 	key := e.row.Key()
 	current, base, err := k.readRow(ctx, key)
 	if err != nil {
-		return result(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "the platform does not answer: nothing was changed"), false
+		return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "the platform is unreachable: nothing was changed"), false
 	}
 	if current != nil && current.HasChange(m.GetChangeId()) {
-		return accepted(e, current), false
+		return acceptedResult(e, current), false
 	}
-	if res := raceLost(e, current); res != nil {
+	if res := checkConflict(e, current); res != nil {
 		return res, false
 	}
 	// Cells that the edit does not name are taken from the row as stored.
 	next, err := parseEdit(e.message, liveRow(current))
 	if err != nil {
-		return result(e.message, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error()), false
+		return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error()), false
 	}
 	next.Changes = nil
 	next.Version = 0
@@ -208,46 +209,47 @@
 		next.Deleted = current.Deleted
 	}
 	if current != nil && next.Deleted == e.message.GetDelete() && equalCells(next, current) {
-		return unchanged(e, current), false
+		return unchangedResult(e, current), false
 	}
 	next.Deleted = e.message.GetDelete()
 	next.Record(m.GetChangeId(), m.GetAuthor(), time.Now())
 	it, err := next.Item()
 	if err != nil {
-		return result(e.message, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error()), false
+		return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_INVALID, err.Error()), false
 	}
 	_, err = k.parts.Platform.Put(ctx, key, it.Value, base)
-	k.notePlatform(err)
+	k.recordPlatformCall(err)
 	switch {
 	case err == nil:
 		k.adopt(it)
-		return accepted(e, next), false
+		return acceptedResult(e, next), false
 	case errors.Is(err, platform.ErrConflict):
 		return nil, true
 	case errors.Is(err, platform.ErrUnknown):
-		return k.resolveEdit(ctx, m, e)
+		return k.confirmEdit(ctx, m, e)
 	}
-	return result(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "the platform refused the write: nothing was changed"), false
+	return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "the platform rejected the write: nothing was changed"), false
 }
 
-// resolveEdit reads back after a lost answer and looks for the change's ID.
-func (k *Control) resolveEdit(ctx context.Context, m *marbleroadv1.ApplyRequest, e checkedEdit) (*marbleroadv1.RowResult, bool) {
+// confirmEdit reads the row back after the response of a write was lost, and looks for the
+// change's ID.
+func (k *Control) confirmEdit(ctx context.Context, m *marbleroadv1.ApplyRequest, e checkedEdit) (*marbleroadv1.RowResult, bool) {
 	current, _, err := k.readRow(ctx, e.row.Key())
 	if err != nil {
-		return result(e.message, marbleroadv1.Outcome_OUTCOME_UNKNOWN,
-			"the platform's answer was lost; apply the same change again (--change "+m.GetChangeId()+") to learn what came of it"), false
+		return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_UNKNOWN,
+			"the platform's response was lost; apply the same change again (--change "+m.GetChangeId()+") to find out whether it was stored"), false
 	}
 	if current != nil && current.HasChange(m.GetChangeId()) {
 		k.parts.Log.Emit(event.WriteResolved).Str("key", e.row.Key()).Send()
-		return accepted(e, current), false
+		return acceptedResult(e, current), false
 	}
 	return nil, true
 }
 
-// readRow reads a row from the store; nil when there is none.
+// readRow reads a row and its stored version. The row is nil when none is stored.
 func (k *Control) readRow(ctx context.Context, key string) (*table.Row, uint64, error) {
 	object, err := k.parts.Platform.Get(ctx, key)
-	k.notePlatform(err)
+	k.recordPlatformCall(err)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, 0, nil
 	}
@@ -267,8 +269,9 @@
 	return r
 }
 
-// raceLost reports a conflict when the row moved on since the edit's base.
-func raceLost(e checkedEdit, current *table.Row) *marbleroadv1.RowResult {
+// checkConflict returns a conflict when the row has changed since the version that the edit is
+// based on, and nil otherwise.
+func checkConflict(e checkedEdit, current *table.Row) *marbleroadv1.RowResult {
 	version := uint64(0)
 	if current != nil && !current.Deleted {
 		version = current.Version
@@ -277,7 +280,7 @@
 	if e.message.GetForce() || base == version || (current != nil && base == current.Version) {
 		return nil
 	}
-	res := result(e.message, marbleroadv1.Outcome_OUTCOME_CONFLICT, "the row has changed since")
+	res := rowResult(e.message, marbleroadv1.Outcome_OUTCOME_CONFLICT, "the row has changed since the version that the edit is based on")
 	res.Version = version
 	if current != nil {
 		res.Current, _ = json.Marshal(current)
@@ -285,14 +288,14 @@
 	return res
 }
 
-func accepted(e checkedEdit, row *table.Row) *marbleroadv1.RowResult {
-	res := result(e.message, marbleroadv1.Outcome_OUTCOME_ACCEPTED, "")
+func acceptedResult(e checkedEdit, row *table.Row) *marbleroadv1.RowResult {
+	res := rowResult(e.message, marbleroadv1.Outcome_OUTCOME_ACCEPTED, "")
 	res.Version = row.Version
 	return res
 }
 
-func unchanged(e checkedEdit, row *table.Row) *marbleroadv1.RowResult {
-	res := result(e.message, marbleroadv1.Outcome_OUTCOME_UNCHANGED, "")
+func unchangedResult(e checkedEdit, row *table.Row) *marbleroadv1.RowResult {
+	res := rowResult(e.message, marbleroadv1.Outcome_OUTCOME_UNCHANGED, "")
 	res.Version = row.Version
 	return res
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,11 +1,10 @@
-// Package control is the control daemon: it probes upstream VMs, forms and
-// retires groups, distributes the table and answers operators.
+// Package control implements the control daemon: it probes upstream VMs, forms and retires
+// groups, distributes the table and serves operators.
 //
-// Concurrency: one actor (state) owns the control state. Probes, exchanges,
-// platform calls and orders run on goroutines of their own and report to the
-// actor by typed messages. What they need from it is published as an immutable
-// *duties behind an atomic pointer. item.Set and presence.Board are shared and
-// lock themselves.
+// Concurrency: one actor (state) owns the control state. Probes, exchanges, platform calls and
+// orders run on goroutines of their own and send their outcome to the actor as typed messages.
+// What they need from the actor is published as an immutable *tickResult behind an atomic
+// pointer. item.Set and presence.Board are shared and have locks of their own.
 package control
 
 import (
@@ -38,12 +37,12 @@
 // ServiceName is the control service's name in the kernel.
 const ServiceName = "control"
 
-// Config holds what the control daemon needs to know.
+// Config holds the settings of the control daemon.
 type Config struct {
 	NodeID        string
 	FailureDomain string
 	Listen        string
-	// Advertise is the address that other nodes reach Listen under.
+	// Advertise is the address at which other nodes reach Listen.
 	Advertise string
 	// EntryPeer is the address of this VM's entry for other nodes.
 	EntryPeer           string
@@ -53,14 +52,14 @@
 	ProbeTimeout        time.Duration
 	ExchangeInterval    time.Duration
 	MembersInterval     time.Duration
-	// MaxLoading is how many VMs of a fabric domain load at once.
+	// MaxLoading is the maximum number of VMs of a fabric domain that load at the same time.
 	MaxLoading int
 	WatchWait  time.Duration
 	Window     time.Duration
 	Estimates  groups.Estimates
 }
 
-// Parts are the daemon's collaborators.
+// Parts holds the components that the daemon uses.
 type Parts struct {
 	Log      *event.Logger
 	Metrics  *metrics.Registry
@@ -70,31 +69,30 @@
 	Engine   engine.Engine
 }
 
-// Control is the daemon as a kernel service.
+// Control is the control daemon. It implements kernel.Service.
 type Control struct {
 	config      Config
 	parts       Parts
 	incarnation uint64
 	items       *item.Set
-	board       *presence.Board
+	registry    *presence.Board
 	client      *http.Client
 
-	system *actor.ActorSystem
-	state  *actor.PID
-	duties atomic.Pointer[duties]
-	// loaded is true once the table was read, from the platform or, while that
-	// is away, from a peer.
+	system     *actor.ActorSystem
+	state      *actor.PID
+	tickResult atomic.Pointer[tickResult]
+	// loaded is true once the table was read, from the platform or, while that is unreachable,
+	// from a peer.
 	loaded atomic.Bool
-	// platformDown is true after a failed call to the platform until the next
-	// one that succeeds.
+	// platformDown is true from a failed call to the platform until the next one that succeeds.
 	platformDown atomic.Bool
 
-	probed    *ownProbes
-	exchanger *exchanger
-	server    *callers.Server
-	cancel    context.CancelFunc
-	stopped   atomic.Bool
-	workers   sync.WaitGroup
+	localProbes *probeTracker
+	exchanger   *exchanger
+	server      *callers.Server
+	cancel      context.CancelFunc
+	stopped     atomic.Bool
+	workers     sync.WaitGroup
 }
 
 // New returns a control daemon.
@@ -105,19 +103,20 @@
 		parts:       p,
 		incarnation: incarnation,
 		items:       item.NewSet(incarnation),
-		board:       presence.NewBoard(),
+		registry:    presence.NewBoard(),
 		client:      p.Peers.Client(),
-		probed:      newOwnProbes(),
+		localProbes: newProbeTracker(),
 	}
 	k.exchanger = newExchanger(k)
-	k.duties.Store(&duties{})
+	k.tickResult.Store(&tickResult{})
 	return k
 }
 
 // Name implements kernel.Service.
 func (k *Control) Name() string { return ServiceName }
 
-// Ready says whether operators and entries can rely on this process.
+// Ready reports whether operators and entries can rely on this process, and the reason if they
+// can't.
 func (k *Control) Ready() (bool, string) {
 	if !k.loaded.Load() {
 		return false, "the table has not been read yet"
@@ -127,15 +126,15 @@
 
 // Start implements kernel.Service.
 func (k *Control) Start(context.Context) error {
-	k.system = actor.NewActorSystem(actor.WithLoggerFactory(quiet))
+	k.system = actor.NewActorSystem(actor.WithLoggerFactory(discardLogger))
 	state, err := k.system.Root.SpawnNamed(actor.PropsFromProducer(func() actor.Actor { return newState(k) }), "state")
 	if err != nil {
-		return errors.Wrap(err, "spawn state")
+		return errors.Wrap(err, "spawn state actor")
 	}
 	k.state = state
 	mux := http.NewServeMux()
-	mux.Handle(marbleroadv1connect.NewViewServiceHandler(viewHandler{k}, smallPlain, bounded))
-	mux.Handle(marbleroadv1connect.NewPeerServiceHandler(peerHandler{k}, smallPlain, bounded))
+	mux.Handle(marbleroadv1connect.NewViewServiceHandler(viewHandler{k}, compressLarge, limitMessageSize))
+	mux.Handle(marbleroadv1connect.NewPeerServiceHandler(peerHandler{k}, compressLarge, limitMessageSize))
 	mux.Handle(k.operatorHandler())
 	k.server, err = k.parts.Peers.Serve(k.config.Listen, mux)
 	if err != nil {
@@ -143,69 +142,70 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	k.cancel = cancel
-	k.work(ctx, k.tickLoop)
-	k.work(ctx, k.probeLoop)
-	k.work(ctx, k.backupLoop)
-	k.work(ctx, k.exchanger.loop)
-	k.work(ctx, k.tableLoop)
-	k.work(ctx, k.membersLoop)
-	k.work(ctx, k.recoverLoop)
-	k.work(ctx, k.registerLoop)
+	k.startWorker(ctx, k.tickLoop)
+	k.startWorker(ctx, k.probeLoop)
+	k.startWorker(ctx, k.backupLoop)
+	k.startWorker(ctx, k.exchanger.loop)
+	k.startWorker(ctx, k.tableLoop)
+	k.startWorker(ctx, k.membersLoop)
+	k.startWorker(ctx, k.recoverLoop)
+	k.startWorker(ctx, k.registerLoop)
 	return nil
 }
 
-// Stop implements kernel.Service. Calls in progress are finished first.
+// Stop implements kernel.Service. It lets calls in progress finish first.
 func (k *Control) Stop(ctx context.Context) error {
 	err := k.server.Stop(ctx)
 	k.stopped.Store(true)
 	k.cancel()
-	// The actor first: it starts workers.
+	// The actor starts workers, so it is stopped before they are waited for.
 	_ = k.system.Root.StopFuture(k.state).Wait()
 	k.workers.Wait()
 	k.system.Shutdown()
 	return err
 }
 
-// quiet drops the actor library's own log; ours has the numbered events.
-func quiet(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
+// discardLogger returns a logger that drops the actor library's own log lines; this project
+// logs numbered events.
+func discardLogger(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// work runs a loop until Stop.
-func (k *Control) work(ctx context.Context, loop func(context.Context)) {
+// startWorker runs the function on a goroutine that Stop waits for.
+func (k *Control) startWorker(ctx context.Context, run func(context.Context)) {
 	k.workers.Add(1)
 	go func() {
 		defer k.workers.Done()
-		loop(ctx)
+		run(ctx)
 	}()
 }
 
-func (k *Control) running() bool { return !k.stopped.Load() }
+func (k *Control) isRunning() bool { return !k.stopped.Load() }
 
-// newChangeID returns the ID of a change or write.
+// newChangeID returns a unique ID for a change or a write.
 func newChangeID() string { return ulid.Make().String() }
 
-// tell sends a message to the state actor.
-func (k *Control) tell(message any) {
+// sendToState sends a message to the state actor.
+func (k *Control) sendToState(message any) {
 	k.system.Root.Send(k.state, message)
 }
 
-// smallPlain leaves small answers uncompressed: compressing them costs more
-// processor time than it saves bytes.
-var smallPlain = connect.WithCompressMinBytes(compressFrom)
+// compressLarge leaves small responses uncompressed: compressing them costs more in processor
+// time than it saves in bytes.
+var compressLarge = connect.WithCompressMinBytes(minCompressBytes)
 
-// bounded refuses huge messages.
-var bounded = connect.WithReadMaxBytes(transport.MaxMessage)
+// limitMessageSize rejects messages larger than transport.MaxMessage.
+var limitMessageSize = connect.WithReadMaxBytes(transport.MaxMessage)
 
-// compressFrom is the least size of an answer that is compressed, bytes.
-const compressFrom = 2048
+// minCompressBytes is the size from which a response is compressed.
+const minCompressBytes = 2048
 
-// tickInterval is how often the state is judged anew.
+// tickInterval is how often the control state is evaluated.
 const tickInterval = 500 * time.Millisecond
 
 func (k *Control) tickLoop(ctx context.Context) {
-	every(ctx, tickInterval, func() { k.tell(tick{now: clock.Now()}) })
+	every(ctx, tickInterval, func() { k.sendToState(tick{now: clock.Now()}) })
 }
 
-// every calls f at once and then at each interval until ctx ends.
+// every calls f at once and then at each interval until ctx is done.
 func every(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -219,8 +219,9 @@
 	}
 }
 
-// notePlatform keeps track of whether the platform answers.
-func (k *Control) notePlatform(err error) {
+// recordPlatformCall records from the result of a call whether the platform is reachable, and
+// logs when that changes.
+func (k *Control) recordPlatformCall(err error) {
 	answered := err == nil || errors.IsAny(err, platform.ErrNotFound, platform.ErrConflict,
 		platform.ErrCompacted, platform.ErrUnchanged)
 	was := k.platformDown.Swap(!answered)
--- a/internal/control/divide.go
+++ b/internal/control/divide.go
@@ -7,18 +7,18 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// divideProbes finds the VMs that this process probes first, and as a backup.
-// It does so anew only when the VMs or the live nodes have changed: at the
-// planned size the hashing would cost more than all the rest of a tick.
-func (s *state) divideProbes(snapshot *view.Snapshot, live []string) {
-	now := probeDivision{live: strings.Join(live, " "), members: s.membersVersion()}
-	if now == s.division {
+// assignProbes selects the VMs that this process probes as first prober and as backup. It does
+// so only when the VMs or the live nodes have changed: at the planned size the hashing would
+// cost more than all the rest of a tick.
+func (s *state) assignProbes(snapshot *view.Snapshot, live []string) {
+	inputs := probeAssignmentInputs{live: strings.Join(live, " "), members: s.membersVersion()}
+	if inputs == s.probeInputs {
 		return
 	}
-	s.division = now
+	s.probeInputs = inputs
 	s.probes, s.backups = nil, nil
 	for _, m := range snapshot.Members {
-		for i, id := range hint("probe/"+m.VM, live, probersPerVM) {
+		for i, id := range preferredOwners("probe/"+m.VM, live, probersPerVM) {
 			switch {
 			case id != s.k.config.NodeID:
 			case i == 0:
@@ -30,54 +30,55 @@
 	}
 }
 
+// membersVersion returns the version of the membership list.
 func (s *state) membersVersion() uint64 {
 	it, _ := s.k.items.Get(view.MembersKey(s.k.config.FailureDomain))
 	return it.Version
 }
 
-// exchangePeers lists all nodes of this failure domain, and for each other
-// failure domain one node if that falls to this process.
+// exchangePeers lists all other nodes of this failure domain, and one node of each other
+// failure domain for which this process is the delegate.
 func (s *state) exchangePeers(live []string) []node.Record {
-	s.divideDomains(live)
-	out := append([]node.Record(nil), s.neighbours...)
-	for _, recs := range s.delegated {
-		out = append(out, s.delegate(recs))
+	s.assignDomains(live)
+	out := append([]node.Record(nil), s.localPeers...)
+	for _, recs := range s.delegatedDomains {
+		out = append(out, s.chooseDelegate(recs))
 	}
 	return out
 }
 
-// divideDomains finds the nodes of this failure domain, and the other failure
-// domains whose delegate this process is; anew only after a change.
-func (s *state) divideDomains(live []string) {
-	now := domainDivision{live: strings.Join(live, " "), nodes: len(s.nodes)}
+// assignDomains selects the other nodes of this failure domain, and the other failure domains
+// for which this process is the delegate. It does so only after a change of the nodes.
+func (s *state) assignDomains(live []string) {
+	inputs := delegationInputs{live: strings.Join(live, " "), nodes: len(s.nodes)}
 	if len(s.nodes) > 0 {
-		now.first = &s.nodes[0]
+		inputs.first = &s.nodes[0]
 	}
-	if now == s.domainsBy {
+	if inputs == s.domainInputs {
 		return
 	}
-	s.domainsBy = now
-	s.neighbours = nil
-	s.delegated = make(map[string][]node.Record)
+	s.domainInputs = inputs
+	s.localPeers = nil
+	s.delegatedDomains = make(map[string][]node.Record)
 	for _, rec := range s.nodes {
 		switch {
 		case rec.ID == s.k.config.NodeID:
 		case rec.FailureDomain == s.k.config.FailureDomain:
-			s.neighbours = append(s.neighbours, rec)
+			s.localPeers = append(s.localPeers, rec)
 		default:
-			s.delegated[rec.FailureDomain] = append(s.delegated[rec.FailureDomain], rec)
+			s.delegatedDomains[rec.FailureDomain] = append(s.delegatedDomains[rec.FailureDomain], rec)
 		}
 	}
-	for domain := range s.delegated {
-		if !hinted("delegate/"+domain, live, 1, s.k.config.NodeID) {
-			delete(s.delegated, domain)
+	for domain := range s.delegatedDomains {
+		if !isPreferredOwner("delegate/"+domain, live, 1, s.k.config.NodeID) {
+			delete(s.delegatedDomains, domain)
 		}
 	}
 }
 
-// delegate picks the node to ask in another failure domain: one that answers,
-// else the next one each few seconds.
-func (s *state) delegate(recs []node.Record) node.Record {
+// chooseDelegate picks the node to query in another failure domain: the first one that
+// responds, otherwise another one every few seconds.
+func (s *state) chooseDelegate(recs []node.Record) node.Record {
 	for _, rec := range recs {
 		if p := s.peers[rec.ID]; p != nil && !p.lost {
 			return rec
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -14,11 +14,11 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// drainRetry is the pause between tries to store a held drain order.
-const drainRetry = 2 * time.Second
+// drainRetryInterval is the pause between attempts to store a pending drain order.
+const drainRetryInterval = 2 * time.Second
 
-// Drain implements OperatorService. While the platform is away the order is
-// held by this failure domain's processes and stored later.
+// Drain implements OperatorService. While the platform is unreachable, this failure domain's
+// processes share the order and put it in force; it is stored later.
 func (h operatorHandler) Drain(ctx context.Context, r *connect.Request[marbleroadv1.DrainRequest]) (*connect.Response[marbleroadv1.DrainResponse], error) {
 	if err := table.CheckName(r.Msg.GetVm()); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -28,12 +28,13 @@
 	if k.storeDrain(ctx, order) {
 		return connect.NewResponse(&marbleroadv1.DrainResponse{Stored: true}), nil
 	}
-	k.holdDrain(order)
+	k.publishPendingDrain(order)
 	k.parts.Log.Emit(event.DrainHeld).Str("vm", order.VM).Send()
-	k.work(context.Background(), func(context.Context) { k.storeLater(order) })
+	k.startWorker(context.Background(), func(context.Context) { k.storeWhenReachable(order) })
 	return connect.NewResponse(&marbleroadv1.DrainResponse{}), nil
 }
 
+// storeDrain writes the order to the VMs sheet and reports whether it is stored.
 func (k *Control) storeDrain(ctx context.Context, order view.Drain) bool {
 	text := "no"
 	if order.Drain {
@@ -58,9 +59,8 @@
 	return false
 }
 
-// holdDrain puts the order among the items that peers of this failure domain
-// pass on.
-func (k *Control) holdDrain(order view.Drain) {
+// publishPendingDrain adds the order to the items that peers of this failure domain exchange.
+func (k *Control) publishPendingDrain(order view.Drain) {
 	key := view.DrainKey(k.config.FailureDomain, order.VM)
 	value, err := json.Marshal(order)
 	if err != nil {
@@ -70,21 +70,21 @@
 	k.adopt(item.Item{Key: key, Version: old.Version + 1, Value: value})
 }
 
-// storeLater stores a held order when the platform answers again, unless a
-// newer order for the VM has come.
-func (k *Control) storeLater(order view.Drain) {
+// storeWhenReachable stores a pending order once the platform is reachable, unless a newer
+// order for the VM has arrived.
+func (k *Control) storeWhenReachable(order view.Drain) {
 	key := view.DrainKey(k.config.FailureDomain, order.VM)
-	held, _ := k.items.Get(key)
-	for k.running() {
+	pending, _ := k.items.Get(key)
+	for k.isRunning() {
 		now, _ := k.items.Get(key)
-		if now.Version != held.Version {
+		if now.Version != pending.Version {
 			return
 		}
 		if k.storeDrain(context.Background(), order) {
 			order.Stored = true
-			k.holdDrain(order)
+			k.publishPendingDrain(order)
 			return
 		}
-		time.Sleep(drainRetry)
+		time.Sleep(drainRetryInterval)
 	}
 }
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -20,25 +20,27 @@
 const (
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
-	// peersPerSecond bounds how many peers are read in a second, so that the
-	// traffic of a node does not grow with the failure domain.
+	// peersPerSecond bounds how many peers are queried in a second, so that the traffic of a
+	// node does not grow with the failure domain.
 	peersPerSecond = 12
-	// acrossInterval is the time between two readings of another failure domain.
-	acrossInterval = 2 * time.Second
+	// remoteDomainInterval is the minimum time between two exchanges with another failure
+	// domain.
+	remoteDomainInterval = 2 * time.Second
 )
 
-// peerLink is what this process knows about one peer's data. It belongs to
-// the goroutine of the exchange that is running; busy guards that.
+// peerLink holds the progress of the exchanges with one peer. The goroutine of the running
+// exchange owns the cursor and the witnesses; busy ensures that there is only one.
 type peerLink struct {
-	busy      bool
-	lastAsked time.Time
-	// answeredAt is when the peer last answered; before that, when it was first asked.
-	answeredAt time.Time
-	cursor     item.Cursor
-	witnesses  wire.WitnessReader
+	busy        bool
+	lastRequest time.Time
+	// lastResponse is when the last request that the peer answered was sent; until there is
+	// one, the time of the link's creation.
+	lastResponse time.Time
+	cursor       item.Cursor
+	witnesses    wire.WitnessReader
 }
 
-// exchanger reads the peers in turn.
+// exchanger queries each peer at its interval.
 type exchanger struct {
 	k *Control
 
@@ -50,27 +52,28 @@
 	return &exchanger{k: k, links: make(map[string]*peerLink)}
 }
 
-// granularity is how often the exchanger looks for peers that are due.
-const granularity = 100 * time.Millisecond
+// exchangePollInterval is how often the exchanger checks which peers are due.
+const exchangePollInterval = 100 * time.Millisecond
 
 func (x *exchanger) loop(ctx context.Context) {
-	every(ctx, granularity, func() {
+	every(ctx, exchangePollInterval, func() {
 		peers := x.peers()
 		interval := exchangeInterval(x.k.config.ExchangeInterval, len(peers))
 		for _, p := range peers {
-			x.start(ctx, p, interval)
+			x.startExchange(ctx, p, interval)
 		}
 	})
 }
 
-// exchangeInterval stretches the interval when there are many peers.
+// exchangeInterval returns the time between two exchanges with a peer. It grows with the number
+// of peers.
 func exchangeInterval(base time.Duration, peers int) time.Duration {
 	return max(base, time.Duration(peers)*time.Second/peersPerSecond)
 }
 
-// peers lists the nodes to read, and the seeds that no known node covers.
+// peers lists the nodes to query, and the seeds that are not the address of a known node.
 func (x *exchanger) peers() []node.Record {
-	out := x.k.duties.Load().peers
+	out := x.k.tickResult.Load().peers
 	covered := map[string]bool{x.k.config.Advertise: true}
 	for _, p := range out {
 		covered[p.Control] = true
@@ -84,27 +87,28 @@
 	return append(seeds, out...)
 }
 
-func (x *exchanger) start(ctx context.Context, p node.Record, interval time.Duration) {
+// startExchange starts an exchange with the peer if one is due and none is running.
+func (x *exchanger) startExchange(ctx context.Context, p node.Record, interval time.Duration) {
 	if p.FailureDomain != x.k.config.FailureDomain {
-		interval = max(interval, acrossInterval)
+		interval = max(interval, remoteDomainInterval)
 	}
 	x.mu.Lock()
 	link := x.links[p.Control]
 	if link == nil {
-		link = &peerLink{answeredAt: clock.Now()}
+		link = &peerLink{lastResponse: clock.Now()}
 		x.links[p.Control] = link
 	}
 	now := clock.Now()
-	due := !link.busy && now.Sub(link.lastAsked) >= interval-granularity/2
+	due := !link.busy && now.Sub(link.lastRequest) >= interval-exchangePollInterval/2
 	if due {
 		link.busy = true
-		link.lastAsked = now
+		link.lastRequest = now
 	}
 	x.mu.Unlock()
 	if !due {
 		return
 	}
-	x.k.work(ctx, func(ctx context.Context) {
+	x.k.startWorker(ctx, func(ctx context.Context) {
 		x.exchange(ctx, p.Control, link)
 		x.mu.Lock()
 		link.busy = false
@@ -112,12 +116,14 @@
 	})
 }
 
+// exchange queries one peer, adopts its items and probe results, and reports to the state
+// actor.
 func (x *exchanger) exchange(ctx context.Context, address string, link *peerLink) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	k := x.k
-	client := marbleroadv1connect.NewPeerServiceClient(k.client, k.parts.Peers.URL(address), bounded)
-	asked := clock.Now()
+	client := marbleroadv1connect.NewPeerServiceClient(k.client, k.parts.Peers.URL(address), limitMessageSize)
+	requestedAt := clock.Now()
 	resp, err := client.Exchange(ctx, connect.NewRequest(&marbleroadv1.ExchangeRequest{
 		NodeId:        k.config.NodeID,
 		FailureDomain: k.config.FailureDomain,
@@ -131,43 +137,43 @@
 		return
 	}
 	m := resp.Msg
-	seen, err := link.witnesses.Read(m.GetWitnesses(), asked)
+	results, err := link.witnesses.Read(m.GetWitnesses(), requestedAt)
 	if err != nil {
 		return
 	}
-	for _, w := range seen {
-		k.board.Record(w)
+	for _, w := range results {
+		k.registry.Record(w)
 	}
 	for _, it := range m.GetChanged() {
 		k.adopt(wire.Item(it))
 	}
 	link.cursor = wire.Cursor(m.GetItems())
 	x.mu.Lock()
-	link.answeredAt = asked
+	link.lastResponse = requestedAt
 	x.mu.Unlock()
 	if m.GetTableLoaded() && k.platformDown.Load() {
 		k.loaded.Store(true)
 	}
-	k.tell(peerAnswered{
+	k.sendToState(exchangeCompleted{
 		id:            m.GetNodeId(),
 		failureDomain: m.GetFailureDomain(),
-		asked:         asked,
+		requestedAt:   requestedAt,
 		digest:        m.GetDigest(),
 		entries:       m.GetEntries(),
 		platformDown:  m.GetPlatformUnreachable(),
 	})
 }
 
-// silentFor reports whether the peer at the address has been asked but has
-// not answered for the given time.
-func (x *exchanger) silentFor(address string, d time.Duration) bool {
+// unresponsiveFor reports whether the peer at the address has been queried but has not
+// responded for longer than the given time.
+func (x *exchanger) unresponsiveFor(address string, d time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	link := x.links[address]
-	return link != nil && clock.Since(link.answeredAt) > d
+	return link != nil && clock.Since(link.lastResponse) > d
 }
 
-// adopt takes a newer item and logs rows.
+// adopt stores an item if it is newer than the known one, and logs it if it is a table row.
 func (k *Control) adopt(it item.Item) {
 	if !k.items.Adopt(it) {
 		return
--- a/internal/control/hint.go
+++ b/internal/control/hint.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hint returns the n nodes that a job falls to, by rendezvous hashing. It only
-// saves work twice done: correctness never rests on two processes agreeing.
-func hint(job string, nodes []string, n int) []string {
+// preferredOwners returns the n nodes that should do a job, chosen by rendezvous hashing. It
+// only saves duplicate work: correctness does not depend on two processes agreeing.
+func preferredOwners(job string, nodes []string, n int) []string {
 	sorted := append([]string(nil), nodes...)
 	sort.Slice(sorted, func(i, j int) bool {
 		a, b := score(job, sorted[i]), score(job, sorted[j])
@@ -20,8 +20,9 @@
 	return sorted[:min(n, len(sorted))]
 }
 
-func hinted(job string, nodes []string, n int, self string) bool {
-	for _, id := range hint(job, nodes, n) {
+// isPreferredOwner reports whether self is among the n preferred owners of the job.
+func isPreferredOwner(job string, nodes []string, n int, self string) bool {
+	for _, id := range preferredOwners(job, nodes, n) {
 		if id == self {
 			return true
 		}
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// leases are how long silence is borne. They follow the exchange interval,
-// which is stretched when there are many peers: a lease shorter than two
-// readings would lose and find every peer by turns.
+// leases holds how long silence of others is tolerated. The times follow the exchange interval,
+// which is longer when there are many peers: with a lease shorter than two exchanges every peer
+// would be lost and found in turn.
 type leases struct {
-	// peer is how long a peer counts as alive after it was last asked with success.
+	// peer is how long a peer counts as alive after the last request that it answered.
 	peer time.Duration
-	// demand is how long a silent entry's or failure domain's share stays reserved.
+	// demand is how long the share of an entry or a failure domain stays reserved without a
+	// report.
 	demand time.Duration
-	// hold is how long a share's rise waits for the others to hear of it.
-	hold time.Duration
+	// increaseDelay is how long the increase of a share is delayed, so that the others have
+	// received the reports behind it.
+	increaseDelay time.Duration
 }
 
 const (
-	leastPeerLease   = 3 * time.Second
-	leastDemandLease = 5 * time.Second
-	leastHold        = 2 * time.Second
+	minPeerLease     = 3 * time.Second
+	minDemandLease   = 5 * time.Second
+	minIncreaseDelay = 2 * time.Second
 )
 
-// leasesFor returns the leases for the time between two readings of a peer.
+// leasesFor returns the leases for the time between two exchanges with a peer.
 func leasesFor(interval time.Duration) leases {
-	peer := max(leastPeerLease, 5*interval/2)
+	peer := max(minPeerLease, 5*interval/2)
 	return leases{
-		peer:   peer,
-		demand: max(leastDemandLease, peer+2*time.Second),
-		hold:   max(leastHold, interval+time.Second),
+		peer:          peer,
+		demand:        max(minDemandLease, peer+2*time.Second),
+		increaseDelay: max(minIncreaseDelay, interval+time.Second),
 	}
 }
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -26,9 +26,10 @@
 	explainTimeout = time.Second
 )
 
-// operatorHandler serves OperatorService behind the operators' token.
+// operatorHandler returns the path and handler of OperatorService, which requires the
+// operators' token.
 func (k *Control) operatorHandler() (string, http.Handler) {
-	path, handler := marbleroadv1connect.NewOperatorServiceHandler(operatorHandler{k}, bounded)
+	path, handler := marbleroadv1connect.NewOperatorServiceHandler(operatorHandler{k}, limitMessageSize)
 	return path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !k.operatorAllowed(r.Header) {
 			k.parts.Log.Emit(event.BadOperator).Str("address", r.RemoteAddr).Send()
@@ -39,6 +40,7 @@
 	})
 }
 
+// operatorAllowed reports whether the request carries the operators' token.
 func (k *Control) operatorAllowed(h http.Header) bool {
 	token, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok || k.config.OperatorTokenSHA256 == "" {
@@ -49,9 +51,10 @@
 	return subtle.ConstantTimeCompare([]byte(given), []byte(k.config.OperatorTokenSHA256)) == 1
 }
 
+// operatorHandler implements OperatorService.
 type operatorHandler struct{ k *Control }
 
-// GetTable implements OperatorService.
+// GetTable implements OperatorService. Rows that cannot be decoded are left out.
 func (h operatorHandler) GetTable(_ context.Context, r *connect.Request[marbleroadv1.GetTableRequest]) (*connect.Response[marbleroadv1.GetTableResponse], error) {
 	prefix := item.TablePrefix
 	if sheet := r.Msg.GetSheet(); sheet != "" {
@@ -73,18 +76,19 @@
 
 // Status implements OperatorService.
 func (h operatorHandler) Status(context.Context, *connect.Request[marbleroadv1.StatusRequest]) (*connect.Response[marbleroadv1.StatusResponse], error) {
-	answer, err := h.k.system.Root.RequestFuture(h.k.state, askStatus{}, statusTimeout).Result()
+	response, err := h.k.system.Root.RequestFuture(h.k.state, statusRequested{}, statusTimeout).Result()
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	status, ok := answer.(*marbleroadv1.StatusResponse)
+	status, ok := response.(*marbleroadv1.StatusResponse)
 	if !ok {
-		return nil, connect.NewError(connect.CodeInternal, errors.New("unexpected answer"))
+		return nil, connect.NewError(connect.CodeInternal, errors.New("unexpected response type of the state actor"))
 	}
 	return connect.NewResponse(status), nil
 }
 
-// Explain implements OperatorService: it asks all known entries.
+// Explain implements OperatorService. It queries all known entries and merges the steps that
+// they recorded.
 func (h operatorHandler) Explain(ctx context.Context, r *connect.Request[marbleroadv1.ExplainRequest]) (*connect.Response[marbleroadv1.ExplainResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -19,56 +19,55 @@
 const (
 	// orderTimeout bounds one order to a VM.
 	orderTimeout = 2 * time.Second
-	// orderPause is the least time between two orders to one VM: its next
-	// witness should have come by then.
-	orderPause = 2 * time.Second
-	// planPause is the pause after a plan could not be written.
-	planPause = 2 * time.Second
+	// orderInterval is the minimum time between two orders to one VM: its next probe result
+	// should have arrived by then.
+	orderInterval = 2 * time.Second
+	// planRetryPause is the pause after a plan could not be read or written.
+	planRetryPause = 2 * time.Second
 )
 
-// fabricState is the planner's memory of one fabric domain. It belongs to the
-// state actor.
+// fabricPlanner is the planner's state for one fabric domain. It belongs to the state actor.
 //
-// There is no lease on a fabric domain: the conditional update of the plan is
-// what keeps two planners apart, and the plan's version is the fencing token.
-// The hint only keeps them from working against each other all the time.
-type fabricState struct {
-	// base is the store's version of the plan that the next update builds on.
-	base uint64
-	// known is true once the plan was read from or written to the store by
-	// this process since it became the planner.
-	known bool
-	busy  bool
-	// notBefore delays the next try after a failure.
+// There is no lease on a fabric domain: the conditional update of the plan keeps two planners
+// apart, and the plan's version is the fencing token. The preferred owner only keeps planners
+// from continually working against each other.
+type fabricPlanner struct {
+	// baseVersion is the stored object's version that the next update must match.
+	baseVersion uint64
+	// loaded is true once the plan was read from or written to the store by this process since
+	// it became the planner.
+	loaded bool
+	busy   bool
+	// notBefore delays the next attempt after a failure.
 	notBefore time.Time
 }
 
-// plan judges each fabric domain that falls to this process.
+// plan updates the plan of each fabric domain for which this process is the preferred owner.
 func (s *state) plan(now time.Time, snapshot *view.Snapshot, live []string) {
 	s.trackRetiring(now, snapshot)
-	for vm, at := range s.ordering {
-		if now.Sub(at) >= orderPause {
-			delete(s.ordering, vm)
+	for vm, at := range s.lastOrderAt {
+		if now.Sub(at) >= orderInterval {
+			delete(s.lastOrderAt, vm)
 		}
 	}
 	for fabric := range s.fabrics(snapshot) {
 		f := s.planner[fabric]
 		if f == nil {
-			f = &fabricState{}
+			f = &fabricPlanner{}
 			s.planner[fabric] = f
 		}
-		if !hinted("plan/"+fabric, live, 1, s.k.config.NodeID) || !s.quorum(live) {
-			f.known = false
+		if !isPreferredOwner("plan/"+fabric, live, 1, s.k.config.NodeID) || !s.hasQuorum(live) {
+			f.loaded = false
 			continue
 		}
 		s.planFabric(now, snapshot, fabric, f)
 	}
 }
 
-// quorum reports whether this process hears from at least half of the failure
-// domain's nodes. A process that is cut off sees VMs as missing that others
-// see well, and must not regroup them.
-func (s *state) quorum(live []string) bool {
+// hasQuorum reports whether this process reaches at least half of the failure domain's nodes,
+// itself included. A partitioned process sees VMs as missing that others reach, and must not
+// regroup them.
+func (s *state) hasQuorum(live []string) bool {
 	registered := 1
 	for _, rec := range s.nodes {
 		if rec.FailureDomain == s.k.config.FailureDomain && rec.ID != s.k.config.NodeID {
@@ -78,10 +77,11 @@
 	return 2*len(live) >= registered
 }
 
+// fabrics returns the fabric domains that a groups row or a plan names.
 func (s *state) fabrics(snapshot *view.Snapshot) map[string]bool {
 	out := make(map[string]bool)
-	for _, w := range snapshot.Wants {
-		out[w.Fabric] = true
+	for _, row := range snapshot.Wants {
+		out[row.Fabric] = true
 	}
 	for _, p := range snapshot.Plans {
 		out[p.Fabric] = true
@@ -89,6 +89,7 @@
 	return out
 }
 
+// trackRetiring records since when each group has been retiring.
 func (s *state) trackRetiring(now time.Time, snapshot *view.Snapshot) {
 	retiring := make(map[string]bool)
 	for _, p := range snapshot.Plans {
@@ -109,49 +110,52 @@
 	}
 }
 
-func (s *state) planFabric(now time.Time, snapshot *view.Snapshot, fabric string, f *fabricState) {
+// planFabric starts a read or a commit of the fabric domain's plan if one is due, and sends
+// orders otherwise.
+func (s *state) planFabric(now time.Time, snapshot *view.Snapshot, fabric string, f *fabricPlanner) {
 	if f.busy || now.Before(f.notBefore) || s.k.platformDown.Load() {
-		s.order(now, snapshot, fabric)
+		s.sendOrders(now, snapshot, fabric)
 		return
 	}
-	if !f.known {
+	if !f.loaded {
 		f.busy = true
-		s.k.work(context.Background(), func(ctx context.Context) { s.k.readPlan(ctx, fabric) })
+		s.k.startWorker(context.Background(), func(ctx context.Context) { s.k.readPlan(ctx, fabric) })
 		return
 	}
 	input := s.planInput(now, snapshot, fabric)
 	next, moves := groups.Decide(input)
 	if next == nil {
-		s.order(now, snapshot, fabric)
+		s.sendOrders(now, snapshot, fabric)
 		return
 	}
 	next.WriteID = newChangeID()
 	f.busy = true
-	base := f.base
-	s.k.work(context.Background(), func(ctx context.Context) { s.k.commitPlan(ctx, next, base, moves) })
+	baseVersion := f.baseVersion
+	s.k.startWorker(context.Background(), func(ctx context.Context) { s.k.commitPlan(ctx, next, baseVersion, moves) })
 }
 
+// planInput collects what groups.Decide needs for one fabric domain.
 func (s *state) planInput(now time.Time, snapshot *view.Snapshot, fabric string) groups.Input {
-	plan := planOf(snapshot, s.k.config.FailureDomain, fabric)
+	plan := planFor(snapshot, s.k.config.FailureDomain, fabric)
 	in := groups.Input{
 		Plan:        plan,
 		VMs:         make(map[string]groups.VM),
 		RetiringFor: make(map[string]time.Duration),
 		Estimates:   s.k.config.Estimates,
 	}
-	for _, w := range snapshot.Wants {
-		if w.Fabric == fabric {
-			in.Wants = append(in.Wants, want(w))
+	for _, row := range snapshot.Wants {
+		if row.Fabric == fabric {
+			in.Wants = append(in.Wants, replicaSpec(row))
 		}
 	}
 	for name, m := range snapshot.Members {
 		if m.Fabric == fabric {
-			in.VMs[name] = s.vm(now, snapshot, name, m.Pool)
+			in.VMs[name] = s.observedVM(now, snapshot, name, m.Pool)
 		}
 	}
 	for name := range plan.Assign {
 		if _, ok := in.VMs[name]; !ok {
-			in.VMs[name] = s.vm(now, snapshot, name, "")
+			in.VMs[name] = s.observedVM(now, snapshot, name, "")
 		}
 	}
 	for id, since := range s.retiringSince {
@@ -160,7 +164,8 @@
 	return in
 }
 
-func planOf(snapshot *view.Snapshot, failureDomain, fabric string) *groups.Plan {
+// planFor returns the plan of a fabric domain, or an empty one.
+func planFor(snapshot *view.Snapshot, failureDomain, fabric string) *groups.Plan {
 	for _, p := range snapshot.Plans {
 		if p.Fabric == fabric {
 			return p
@@ -169,28 +174,29 @@
 	return groups.NewPlan(failureDomain, fabric)
 }
 
-func want(w view.Want) groups.Want {
+func replicaSpec(row view.Want) groups.Want {
 	return groups.Want{
-		Row:            w.Name,
-		Service:        w.Service,
-		Pool:           w.Pool,
-		Size:           w.VMs,
-		Replicas:       w.Replicas,
-		DowntimeWeight: w.DowntimeWeight,
-		StrandedWeight: w.StrandedWeight,
-		LoadTime:       w.LoadTime,
+		Row:            row.Name,
+		Service:        row.Service,
+		Pool:           row.Pool,
+		Size:           row.VMs,
+		Replicas:       row.Replicas,
+		DowntimeWeight: row.DowntimeWeight,
+		StrandedWeight: row.StrandedWeight,
+		LoadTime:       row.LoadTime,
 	}
 }
 
-func (s *state) vm(now time.Time, snapshot *view.Snapshot, name, pool string) groups.VM {
-	w, _ := s.k.board.Get(name)
+// observedVM describes a VM to the planner by its latest probe result.
+func (s *state) observedVM(now time.Time, snapshot *view.Snapshot, name, pool string) groups.VM {
+	probe, _ := s.k.registry.Get(name)
 	out := groups.VM{
 		Name:       name,
 		Pool:       pool,
-		Leaving:    snapshot.Leaving[name] || w.Leaving,
-		Group:      w.Group,
-		Generation: w.Generation,
-		InFlight:   w.InFlight,
+		Leaving:    snapshot.Leaving[name] || probe.Leaving,
+		Group:      probe.Group,
+		Generation: probe.Generation,
+		InFlight:   probe.InFlight,
 	}
 	since, missing := s.missingSince[name]
 	out.Present = !missing
@@ -203,28 +209,28 @@
 // readPlan reads the plan from the store, so that the next update builds on it.
 func (k *Control) readPlan(ctx context.Context, fabric string) {
 	object, err := k.parts.Platform.Get(ctx, groups.PlanKey(k.config.FailureDomain, fabric))
-	k.notePlatform(err)
+	k.recordPlatformCall(err)
 	if errors.Is(err, platform.ErrNotFound) {
 		err = nil
 	}
 	if err == nil && object.Version > 0 {
 		k.adoptObjects([]platform.Object{object})
 	}
-	k.tell(planTried{fabric: fabric, base: object.Version, err: err})
+	k.sendToState(planAttempted{fabric: fabric, baseVersion: object.Version, err: err})
 }
 
-// commitPlan writes a plan. A lost answer is resolved by reading back.
-func (k *Control) commitPlan(ctx context.Context, p *groups.Plan, base uint64, moves []groups.Move) {
+// commitPlan writes a plan. When the response is lost, it reads the plan back.
+func (k *Control) commitPlan(ctx context.Context, p *groups.Plan, baseVersion uint64, moves []groups.Move) {
 	value, err := p.Encode()
 	if err != nil {
-		k.tell(planTried{fabric: p.Fabric, err: err})
+		k.sendToState(planAttempted{fabric: p.Fabric, err: err})
 		return
 	}
-	object, err := k.parts.Platform.Put(ctx, p.Key(), value, base)
+	object, err := k.parts.Platform.Put(ctx, p.Key(), value, baseVersion)
 	if errors.Is(err, platform.ErrUnknown) {
-		object, err = k.resolvePlan(ctx, p, err)
+		object, err = k.confirmPlanWrite(ctx, p, err)
 	}
-	k.notePlatform(err)
+	k.recordPlatformCall(err)
 	if err == nil {
 		k.adopt(item.Item{Key: p.Key(), Version: p.Version, Value: value})
 		k.parts.Metrics.Count("plans.committed", 1)
@@ -237,10 +243,12 @@
 	if errors.Is(err, platform.ErrConflict) {
 		k.parts.Log.Emit(event.PlanLost).Str("fabric", p.Fabric).Uint64("version", p.Version).Send()
 	}
-	k.tell(planTried{fabric: p.Fabric, base: object.Version, err: err})
+	k.sendToState(planAttempted{fabric: p.Fabric, baseVersion: object.Version, err: err})
 }
 
-func (k *Control) resolvePlan(ctx context.Context, p *groups.Plan, cause error) (platform.Object, error) {
+// confirmPlanWrite reads the stored plan and reports a conflict unless it is the one that this
+// write made.
+func (k *Control) confirmPlanWrite(ctx context.Context, p *groups.Plan, cause error) (platform.Object, error) {
 	object, err := k.parts.Platform.Get(ctx, p.Key())
 	if err != nil {
 		return platform.Object{}, errors.CombineErrors(cause, err)
@@ -250,61 +258,62 @@
 		return platform.Object{}, err
 	}
 	if stored.WriteID != p.WriteID {
-		return platform.Object{}, errors.Wrapf(platform.ErrConflict, "version %d stands", stored.Version)
+		return platform.Object{}, errors.Wrapf(platform.ErrConflict, "version %d is stored", stored.Version)
 	}
 	k.parts.Log.Emit(event.WriteResolved).Str("key", p.Key()).Send()
 	return object, nil
 }
 
-func (s *state) planTried(m planTried) {
+// planAttempted records the outcome of reading or writing a plan.
+func (s *state) planAttempted(m planAttempted) {
 	f := s.planner[m.fabric]
 	if f == nil {
 		return
 	}
 	f.busy = false
-	f.known = m.err == nil
-	f.base = m.base
+	f.loaded = m.err == nil
+	f.baseVersion = m.baseVersion
 	if m.err != nil && !errors.Is(m.err, platform.ErrConflict) {
-		f.notBefore = clock.Now().Add(planPause)
+		f.notBefore = clock.Now().Add(planRetryPause)
 	}
 }
 
-// order sends orders to VMs whose own word differs from the plan. Orders are
-// repeated until the VM's witness fits, so a lost one does no harm. Releases
-// go out at once; orders to load wait for their turn.
-func (s *state) order(now time.Time, snapshot *view.Snapshot, fabric string) {
-	plan := planOf(snapshot, s.k.config.FailureDomain, fabric)
+// sendOrders sends orders to VMs whose reported state differs from the plan. Orders are
+// repeated until the VM's probe result matches, so a lost one does no harm. Releases are sent
+// at once; orders to load wait until the limit of concurrent loads allows them.
+func (s *state) sendOrders(now time.Time, snapshot *view.Snapshot, fabric string) {
+	plan := planFor(snapshot, s.k.config.FailureDomain, fabric)
 	if plan.Version == 0 {
 		return
 	}
 	var waiting []groups.Loading
 	orders := make(map[string]engine.Order)
 	for name, m := range snapshot.Members {
-		w, ok := s.k.board.Get(name)
-		if m.Fabric != fabric || !ok || !w.Fresh(now, s.k.config.Window) {
+		probe, ok := s.k.registry.Get(name)
+		if m.Fabric != fabric || !ok || !probe.Fresh(now, s.k.config.Window) {
 			continue
 		}
-		wanted := orderFor(plan, name, snapshot)
-		fits := obeyed(wanted, w)
+		expected := orderFor(plan, name, snapshot)
+		matches := followsOrder(expected, probe)
 		switch {
-		case fits && (w.Ready || wanted.Group == ""):
-		case wanted.Group != "":
-			orders[name] = wanted
-			waiting = append(waiting, groups.Loading{VM: name, Group: wanted.Group, Begun: fits || s.ordered(now, name)})
-		case s.pooled(snapshot, m.Pool):
-			s.send(now, name, m.Address, wanted)
+		case matches && (probe.Ready || expected.Group == ""):
+		case expected.Group != "":
+			orders[name] = expected
+			waiting = append(waiting, groups.Loading{VM: name, Group: expected.Group, Begun: matches || s.orderPending(now, name)})
+		case s.poolRunsModels(snapshot, m.Pool):
+			s.dispatchOrder(now, name, m.Address, expected)
 		}
 	}
-	for _, name := range groups.NextToLoad(waiting, s.weights(snapshot, plan), s.k.config.MaxLoading) {
-		s.send(now, name, snapshot.Members[name].Address, orders[name])
+	for _, name := range groups.NextToLoad(waiting, s.groupWeights(snapshot, plan), s.k.config.MaxLoading) {
+		s.dispatchOrder(now, name, snapshot.Members[name].Address, orders[name])
 	}
 }
 
-// weights maps each group of the plan to its row's downtime weight.
-func (s *state) weights(snapshot *view.Snapshot, p *groups.Plan) map[string]float64 {
+// groupWeights maps each group of the plan to its row's downtime weight.
+func (s *state) groupWeights(snapshot *view.Snapshot, p *groups.Plan) map[string]float64 {
 	byRow := make(map[string]float64)
-	for _, w := range snapshot.Wants {
-		byRow[w.Name] = w.DowntimeWeight
+	for _, row := range snapshot.Wants {
+		byRow[row.Name] = row.DowntimeWeight
 	}
 	out := make(map[string]float64, len(p.Groups))
 	for _, g := range p.Groups {
@@ -313,30 +322,33 @@
 	return out
 }
 
-// send sends one order unless one is under way.
-func (s *state) send(now time.Time, name, address string, o engine.Order) {
-	if s.ordered(now, name) {
+// dispatchOrder sends one order unless another was sent within orderInterval.
+func (s *state) dispatchOrder(now time.Time, name, address string, o engine.Order) {
+	if s.orderPending(now, name) {
 		return
 	}
-	s.ordering[name] = now
-	s.k.work(context.Background(), func(ctx context.Context) { s.k.sendOrder(ctx, name, address, o) })
+	s.lastOrderAt[name] = now
+	s.k.startWorker(context.Background(), func(ctx context.Context) { s.k.sendOrder(ctx, name, address, o) })
 }
 
-// pooled reports whether a pool's VMs run models; VMs of plain services get no orders.
-func (s *state) pooled(snapshot *view.Snapshot, pool string) bool {
-	for _, w := range snapshot.Wants {
-		if w.Pool == pool {
+// poolRunsModels reports whether a pool's VMs run models. VMs of plain services get no orders.
+func (s *state) poolRunsModels(snapshot *view.Snapshot, pool string) bool {
+	for _, row := range snapshot.Wants {
+		if row.Pool == pool {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *state) ordered(now time.Time, vm string) bool {
-	at, ok := s.ordering[vm]
-	return ok && now.Sub(at) < orderPause
+// orderPending reports whether the VM was sent an order within orderInterval.
+func (s *state) orderPending(now time.Time, vm string) bool {
+	at, ok := s.lastOrderAt[vm]
+	return ok && now.Sub(at) < orderInterval
 }
 
+// orderFor returns the order that the plan implies for the VM; for an unassigned VM, the order
+// to release it.
 func orderFor(p *groups.Plan, vm string, snapshot *view.Snapshot) engine.Order {
 	a, ok := p.Assign[vm]
 	if !ok {
@@ -357,10 +369,12 @@
 	return order
 }
 
-func obeyed(o engine.Order, w presence.Witness) bool {
-	return w.Group == o.Group && w.Generation == o.Generation && w.Rank == o.Rank && w.Size == o.Size
+// followsOrder reports whether the probe result matches the order.
+func followsOrder(o engine.Order, probe presence.Witness) bool {
+	return probe.Group == o.Group && probe.Generation == o.Generation && probe.Rank == o.Rank && probe.Size == o.Size
 }
 
+// sendOrder sends one order to a VM's engine.
 func (k *Control) sendOrder(ctx context.Context, vm, address string, o engine.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -370,7 +384,8 @@
 		k.parts.Log.Emit(event.OrderRefused).Str("vm", vm).Uint64("fence", o.Fence).Send()
 	}
 	if err != nil {
-		// The VM may have obeyed though its answer was lost; its next witness tells.
+		// The VM may have followed the order although its response was lost; its next probe
+		// result shows it.
 		k.parts.Metrics.Count("orders.failed", 1)
 	}
 }
--- a/internal/control/probe.go
+++ b/internal/control/probe.go
@@ -14,20 +14,20 @@
 	"github.com/marbleroad/marbleroad/internal/presence"
 )
 
-// ownProbes remembers which VMs this process probes, so that it reports to
-// peers only what it saw itself.
-type ownProbes struct {
-	mu      sync.Mutex
-	running map[string]bool
-	last    map[string]time.Time
+// probeTracker tracks the probes that this process sends, so that it reports to peers only the
+// VMs that it probed itself.
+type probeTracker struct {
+	mu           sync.Mutex
+	running      map[string]bool
+	lastAnswered map[string]time.Time
 }
 
-func newOwnProbes() *ownProbes {
-	return &ownProbes{running: make(map[string]bool), last: make(map[string]time.Time)}
+func newProbeTracker() *probeTracker {
+	return &probeTracker{running: make(map[string]bool), lastAnswered: make(map[string]time.Time)}
 }
 
-// begin reports false while a probe of the VM is still running.
-func (o *ownProbes) begin(vm string) bool {
+// start marks a probe of the VM as running. It returns false if one is running already.
+func (o *probeTracker) start(vm string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.running[vm] {
@@ -37,23 +37,24 @@
 	return true
 }
 
-func (o *ownProbes) end(vm string, answered bool, at time.Time) {
+// finish marks the probe as finished and records its time if the VM's state is known from it.
+func (o *probeTracker) finish(vm string, answered bool, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.running, vm)
 	if answered {
-		o.last[vm] = at
+		o.lastAnswered[vm] = at
 	}
 }
 
-// recent lists the VMs that this process itself saw since the given time.
-func (o *ownProbes) recent(since time.Time) map[string]bool {
+// recent returns the VMs whose state this process itself probed since the given time.
+func (o *probeTracker) recent(since time.Time) map[string]bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := make(map[string]bool, len(o.last))
-	for vm, at := range o.last {
+	out := make(map[string]bool, len(o.lastAnswered))
+	for vm, at := range o.lastAnswered {
 		if at.Before(since) {
-			delete(o.last, vm)
+			delete(o.lastAnswered, vm)
 			continue
 		}
 		out[vm] = true
@@ -61,23 +62,23 @@
 	return out
 }
 
-// probeLoop probes the VMs that fall to this process first.
+// probeLoop probes the VMs for which this process is the first prober.
 func (k *Control) probeLoop(ctx context.Context) {
-	k.probeEvery(ctx, k.config.ProbeInterval, func(d *duties) []platform.Member { return d.probes })
+	k.probeEvery(ctx, k.config.ProbeInterval, func(d *tickResult) []platform.Member { return d.probes })
 }
 
-// backupLoop probes the VMs that fall to this process second. Its interval
-// leaves half of the presence window for the news to reach the entries.
+// backupLoop probes the VMs for which this process is the backup prober. Its interval leaves
+// half of the presence window for the results to reach the entries.
 func (k *Control) backupLoop(ctx context.Context) {
 	interval := max(k.config.ProbeInterval, k.config.Window/2)
-	k.probeEvery(ctx, interval, func(d *duties) []platform.Member { return d.backups })
+	k.probeEvery(ctx, interval, func(d *tickResult) []platform.Member { return d.backups })
 }
 
-// probeEvery probes each VM once an interval, spread over the interval by the
-// VM's name.
-func (k *Control) probeEvery(ctx context.Context, interval time.Duration, which func(*duties) []platform.Member) {
+// probeEvery probes each VM once per interval. A hash of the VM's name spreads the probes over
+// the interval.
+func (k *Control) probeEvery(ctx context.Context, interval time.Duration, selectVMs func(*tickResult) []platform.Member) {
 	every(ctx, interval, func() {
-		for _, m := range which(k.duties.Load()) {
+		for _, m := range selectVMs(k.tickResult.Load()) {
 			after := time.Duration(xxhash.Sum64String(m.VM) % uint64(interval))
 			k.workers.Add(1)
 			time.AfterFunc(after, func() {
@@ -88,8 +89,9 @@
 	})
 }
 
+// probe probes one VM and records the result.
 func (k *Control) probe(ctx context.Context, m platform.Member) {
-	if ctx.Err() != nil || !k.probed.begin(m.VM) {
+	if ctx.Err() != nil || !k.localProbes.start(m.VM) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, k.config.ProbeTimeout)
@@ -99,21 +101,22 @@
 	k.parts.Metrics.Count("probes", 1)
 	if err != nil {
 		k.parts.Metrics.Count("probes.failed", 1)
-		k.probed.end(m.VM, k.refusedProbe(m, err, sentAt), sentAt)
+		k.localProbes.finish(m.VM, k.recordRefusedProbe(m, err, sentAt), sentAt)
 		return
 	}
 	w.VM = m.VM
 	w.SentAt = sentAt
-	k.board.Record(w)
-	k.probed.end(m.VM, true, sentAt)
+	k.registry.Record(w)
+	k.localProbes.finish(m.VM, true, sentAt)
 }
 
-// refusedProbe records that the VM's port is closed: its process is gone, and
-// nobody need wait for the presence window to know. A time-out says nothing.
-func (k *Control) refusedProbe(m platform.Member, err error, sentAt time.Time) bool {
+// recordRefusedProbe records a VM whose port refuses connections as terminated, so that nobody
+// has to wait for the presence window to expire. It reports whether it did; a timeout does not
+// tell whether the process has terminated.
+func (k *Control) recordRefusedProbe(m platform.Member, err error, sentAt time.Time) bool {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
-	k.board.Record(presence.Witness{VM: m.VM, SentAt: sentAt, Gone: true})
+	k.registry.Record(presence.Witness{VM: m.VM, SentAt: sentAt, Gone: true})
 	return true
 }
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// startSpread spreads the first calls of many processes that start at once:
-	// 580 nodes make some 1,900 reads then.
-	startSpread = 1500 * time.Millisecond
-	// retryMin and retryMax bound the pause after a failed call; pauses double
-	// and are jittered, so that a returning platform is not stampeded.
+	// startJitter spreads the first calls of many processes that start at once: 580 nodes make
+	// some 1,900 reads then.
+	startJitter = 1500 * time.Millisecond
+	// retryMin and retryMax bound the pause after a failed call. Pauses double and are
+	// jittered, so that a recovering platform is not overloaded by retries.
 	retryMin = 250 * time.Millisecond
 	retryMax = 5 * time.Second
-	// idlePause is how often a process that is not the reader looks whether it
-	// has become so.
-	idlePause = 250 * time.Millisecond
-	// retireAfter is how long a node is silent before its record is retired.
+	// pollInterval is how often a process checks whether it has become the reader, and whether
+	// the platform has become unreachable.
+	pollInterval = 250 * time.Millisecond
+	// retireAfter is how long a node must be unresponsive before its record is retired.
 	retireAfter = 10 * time.Minute
 )
 
-// backoff gives growing, jittered pauses.
+// backoff computes growing, jittered pauses between retries.
 type backoff struct{ next time.Duration }
 
 func (b *backoff) pause() time.Duration {
@@ -44,32 +44,32 @@
 
 func (b *backoff) reset() { b.next = 0 }
 
-// watchedPrefix is a part of the store that one reader per failure domain
-// follows for all.
+// watchedPrefix is a key prefix of the store that one reader per failure domain follows for all
+// its processes.
 type watchedPrefix struct {
 	prefix   string
 	revision uint64
 	listed   bool
 }
 
-// tableLoop reads the table once at the start, and then, while this process
-// is the failure domain's reader, follows it.
+// tableLoop reads the table and the node records once at the start, and follows them while this
+// process is the failure domain's reader.
 func (k *Control) tableLoop(ctx context.Context) {
-	if !wait.Sleep(ctx, rand.N(startSpread)) {
+	if !wait.Sleep(ctx, rand.N(startJitter)) {
 		return
 	}
-	k.work(ctx, func(ctx context.Context) { k.follow(ctx, &watchedPrefix{prefix: item.NodePrefix}) })
+	k.startWorker(ctx, func(ctx context.Context) { k.follow(ctx, &watchedPrefix{prefix: item.NodePrefix}) })
 	k.follow(ctx, &watchedPrefix{prefix: item.TablePrefix})
 }
 
-// follow keeps one prefix up to date.
+// follow keeps the items of one prefix up to date.
 func (k *Control) follow(ctx context.Context, w *watchedPrefix) {
 	var retry backoff
 	for ctx.Err() == nil {
-		if w.listed && !k.duties.Load().reader {
-			// Another process follows; this one learns from its peers, and goes
-			// on from its own revision if it has to.
-			if !wait.Sleep(ctx, idlePause) {
+		if w.listed && !k.tickResult.Load().reader {
+			// Another process follows the prefix. This one receives the items from its peers,
+			// and continues from its own revision if it becomes the reader.
+			if !wait.Sleep(ctx, pollInterval) {
 				return
 			}
 			continue
@@ -78,7 +78,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		k.notePlatform(err)
+		k.recordPlatformCall(err)
 		if err == nil {
 			retry.reset()
 			continue
@@ -93,6 +93,7 @@
 	}
 }
 
+// followOnce lists the prefix, or waits for one batch of changes once it has been listed.
 func (k *Control) followOnce(ctx context.Context, w *watchedPrefix) error {
 	if w.revision == 0 {
 		objects, revision, err := k.parts.Platform.List(ctx, w.prefix)
@@ -116,13 +117,13 @@
 	return nil
 }
 
-// versioned is the part of a stored value that orders its versions.
+// versioned decodes the version that all stored values contain.
 type versioned struct {
 	Version uint64 `json:"version"`
 }
 
-// adoptObjects takes stored objects by the version inside their value: the
-// one that the writers raise, and that peers compare.
+// adoptObjects adopts stored objects by the version inside their value, which writers increment
+// and peers compare, not by the store's own version.
 func (k *Control) adoptObjects(objects []platform.Object) {
 	for _, o := range objects {
 		var v versioned
@@ -132,13 +133,12 @@
 	}
 }
 
-// recoverLoop asks the platform again after a failed call, until it answers.
-// Processes that are not readers make calls only now and then, and would
-// otherwise go on believing that it is away.
+// recoverLoop calls the platform again after a failed call until a call succeeds. Processes
+// that are not readers rarely call it, and would otherwise go on treating it as unreachable.
 func (k *Control) recoverLoop(ctx context.Context) {
 	var retry backoff
 	for {
-		next := idlePause
+		next := pollInterval
 		if k.platformDown.Load() {
 			next = retry.pause()
 		} else {
@@ -152,20 +152,20 @@
 		}
 		_, err := k.parts.Platform.Get(ctx, node.Key(k.config.NodeID))
 		if ctx.Err() == nil {
-			k.notePlatform(err)
+			k.recordPlatformCall(err)
 		}
 	}
 }
 
-// membersLoop reads the membership list while this process is the reader, and
-// once at the start.
+// membersLoop reads the membership list until it has succeeded once, and then while this
+// process is the reader.
 func (k *Control) membersLoop(ctx context.Context) {
-	if !wait.Sleep(ctx, rand.N(startSpread)) {
+	if !wait.Sleep(ctx, rand.N(startJitter)) {
 		return
 	}
 	first := true
 	every(ctx, k.config.MembersInterval, func() {
-		if !first && !k.duties.Load().reader {
+		if !first && !k.tickResult.Load().reader {
 			return
 		}
 		known, _ := k.items.Get(view.MembersKey(k.config.FailureDomain))
@@ -173,7 +173,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		k.notePlatform(err)
+		k.recordPlatformCall(err)
 		first = first && err != nil && !errors.Is(err, platform.ErrUnchanged)
 		if err == nil {
 			k.adoptMembers(list)
@@ -181,6 +181,7 @@
 	})
 }
 
+// adoptMembers stores a membership list as an item.
 func (k *Control) adoptMembers(list platform.MemberList) {
 	value, err := json.Marshal(list)
 	if err != nil {
@@ -189,10 +190,10 @@
 	k.adopt(item.Item{Key: view.MembersKey(k.config.FailureDomain), Version: list.Version, Value: value})
 }
 
-// registerLoop writes this VM's record, and keeps trying until it stands.
-// Afterwards, as reader, it retires the records of VMs that are long gone.
+// registerLoop writes this VM's record, retrying until it is stored. Afterwards, as reader, it
+// retires the records of nodes that have been unresponsive for long.
 func (k *Control) registerLoop(ctx context.Context) {
-	if !wait.Sleep(ctx, rand.N(startSpread)) {
+	if !wait.Sleep(ctx, rand.N(startJitter)) {
 		return
 	}
 	rec := node.Record{
@@ -214,7 +215,7 @@
 	every(ctx, retireAfter/10, func() { k.retireNodes(ctx) })
 }
 
-// writeNode writes a record under the next version.
+// writeNode writes a record under the version that follows the stored one.
 func (k *Control) writeNode(ctx context.Context, rec node.Record) error {
 	object, err := k.parts.Platform.Get(ctx, node.Key(rec.ID))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -238,8 +239,10 @@
 	return nil
 }
 
+// retireNodes marks the records of nodes that have been unresponsive for retireAfter as
+// retired.
 func (k *Control) retireNodes(ctx context.Context) {
-	if !k.duties.Load().reader || k.platformDown.Load() {
+	if !k.tickResult.Load().reader || k.platformDown.Load() {
 		return
 	}
 	for _, it := range k.items.List(item.NodePrefix) {
@@ -247,7 +250,7 @@
 		if err != nil || rec.Retired || rec.FailureDomain != k.config.FailureDomain || rec.ID == k.config.NodeID {
 			continue
 		}
-		if !k.exchanger.silentFor(rec.Control, retireAfter) {
+		if !k.exchanger.unresponsiveFor(rec.Control, retireAfter) {
 			continue
 		}
 		rec.Retired = true
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -13,21 +13,22 @@
 	"github.com/marbleroad/marbleroad/internal/wire"
 )
 
-// viewHandler serves entries.
+// viewHandler implements ViewService for entries.
 type viewHandler struct{ k *Control }
 
-// GetView implements ViewService.
+// GetView implements ViewService. It returns the items and probe results that the entry lacks
+// and the entry's shares, and records its demand.
 func (h viewHandler) GetView(_ context.Context, r *connect.Request[marbleroadv1.GetViewRequest]) (*connect.Response[marbleroadv1.GetViewResponse], error) {
 	k := h.k
 	m := r.Msg
 	now := clock.Now()
-	k.tell(entryAsked{id: m.GetEntryId(), at: now, demand: m.GetDemand()})
-	changed, next := k.items.Since(wire.Cursor(m.GetItems()), m.GetDigest(), k.concernsDomain)
-	d := k.duties.Load()
+	k.sendToState(viewRequested{id: m.GetEntryId(), at: now, demand: m.GetDemand()})
+	changed, next := k.items.Since(wire.Cursor(m.GetItems()), m.GetDigest(), k.relevantToDomain)
+	d := k.tickResult.Load()
 	out := &marbleroadv1.GetViewResponse{
 		Items:       wire.CursorMessage(next),
 		Changed:     wire.Items(changed),
-		Witnesses:   wire.WitnessTable(k.board.Sorted(anyVM), now, m.GetWitnessEpoch()),
+		Witnesses:   wire.WitnessTable(k.registry.Sorted(allVMs), now, m.GetWitnessEpoch()),
 		LiveEntries: uint32(d.liveEntries),
 		AllEntries:  uint32(d.allEntries),
 		TableLoaded: k.loaded.Load(),
@@ -40,38 +41,38 @@
 	return connect.NewResponse(out), nil
 }
 
-func anyVM(string) bool { return true }
+func allVMs(string) bool { return true }
 
-// concernsDomain reports whether an item matters inside this failure domain.
-func (k *Control) concernsDomain(key string) bool {
+// relevantToDomain reports whether processes of this failure domain need an item.
+func (k *Control) relevantToDomain(key string) bool {
 	domain := k.config.FailureDomain
-	return concernsAll(key) ||
+	return relevantToAll(key) ||
 		strings.HasPrefix(key, item.PlanPrefix+domain+"/") ||
 		strings.HasPrefix(key, item.DrainPrefix+domain+"/") ||
 		key == view.MembersKey(domain)
 }
 
-// concernsAll reports whether an item matters in every failure domain.
-func concernsAll(key string) bool {
+// relevantToAll reports whether processes of every failure domain need an item.
+func relevantToAll(key string) bool {
 	return strings.HasPrefix(key, item.TablePrefix) || strings.HasPrefix(key, item.NodePrefix)
 }
 
-// peerHandler serves other control processes.
+// peerHandler implements PeerService for other control processes.
 type peerHandler struct{ k *Control }
 
-// Exchange implements PeerService. Peers of the same failure domain also get
-// plans, drains, membership and the VMs that this process probes itself.
+// Exchange implements PeerService. Peers of the same failure domain also get plans, drains,
+// membership and the VMs that this process probes itself.
 func (h peerHandler) Exchange(_ context.Context, r *connect.Request[marbleroadv1.ExchangeRequest]) (*connect.Response[marbleroadv1.ExchangeResponse], error) {
 	k := h.k
 	m := r.Msg
 	now := clock.Now()
-	same := m.GetFailureDomain() == k.config.FailureDomain
-	keep := concernsAll
-	if same {
-		keep = k.concernsDomain
+	sameDomain := m.GetFailureDomain() == k.config.FailureDomain
+	filter := relevantToAll
+	if sameDomain {
+		filter = k.relevantToDomain
 	}
-	changed, next := k.items.Since(wire.Cursor(m.GetItems()), m.GetDigest(), keep)
-	d := k.duties.Load()
+	changed, next := k.items.Since(wire.Cursor(m.GetItems()), m.GetDigest(), filter)
+	d := k.tickResult.Load()
 	out := &marbleroadv1.ExchangeResponse{
 		NodeId:              k.config.NodeID,
 		FailureDomain:       k.config.FailureDomain,
@@ -81,14 +82,14 @@
 		TableLoaded:         k.loaded.Load(),
 		PlatformUnreachable: k.platformDown.Load(),
 	}
-	if !same {
-		if d.wholeDomain != nil {
-			out.Entries = []*marbleroadv1.EntryDemand{d.wholeDomain}
+	if !sameDomain {
+		if d.summedDemand != nil {
+			out.Entries = []*marbleroadv1.EntryDemand{d.summedDemand}
 		}
 		return connect.NewResponse(out), nil
 	}
-	own := k.probed.recent(now.Add(-k.config.Window))
-	out.Witnesses = wire.WitnessTable(k.board.Sorted(func(vm string) bool { return own[vm] }), now, m.GetWitnessEpoch())
-	out.Entries = d.entries
+	local := k.localProbes.recent(now.Add(-k.config.Window))
+	out.Witnesses = wire.WitnessTable(k.registry.Sorted(func(vm string) bool { return local[vm] }), now, m.GetWitnessEpoch())
+	out.Entries = d.reportedDemand
 	return connect.NewResponse(out), nil
 }
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -9,61 +9,62 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// contact says how many of the failure domain's nodes this process hears from.
-type contact int
+// reachability says how many of the failure domain's nodes are live as seen by this process.
+type reachability int
 
 const (
-	// most: the silent ones are dead or in the minority; their shares are free
-	// once the lease has passed.
-	most contact = iota
-	// half: the silent ones may be the other half, going on as this one does;
-	// each keeps its fixed share.
-	half
-	// few: the others go on without this node, which keeps next to nothing.
-	few
+	// majorityReachable: the unresponsive nodes have failed or are in the minority. Their
+	// shares are free once the lease has expired.
+	majorityReachable reachability = iota
+	// halfReachable: the unresponsive nodes may be the other half of a partition and continue
+	// like this one. Each keeps its fixed share.
+	halfReachable
+	// minorityReachable: the other nodes continue without this one, which keeps only a minimal
+	// share.
+	minorityReachable
 )
 
-func contactOf(live, registered int) contact {
+func reachabilityOf(live, registered int) reachability {
 	switch {
 	case 2*live > registered:
-		return most
+		return majorityReachable
 	case 2*live == registered:
-		return half
+		return halfReachable
 	}
-	return few
+	return minorityReachable
 }
 
-// divideLimits computes each entry's share of each limited subject that is
-// asked for here: first among failure domains, then among this one's entries.
-// A subject that nobody here asks for has its equal share until then. A silent
-// failure domain is taken to want all it can get, so that a cut leaves each
-// side its fixed share.
-func (s *state) divideLimits(now time.Time, snapshot *view.Snapshot, live []string, d *duties) {
+// computeShares computes each entry's share of each limit for which there is demand in this
+// failure domain: the limit is divided first among failure domains, then among this one's
+// entries. A subject without demand here has its equal share until there is some. An
+// unresponsive failure domain is assumed to have unlimited demand, so that a partition leaves
+// each side its fixed share.
+func (s *state) computeShares(now time.Time, snapshot *view.Snapshot, live []string, d *tickResult) {
 	entries := s.liveEntries(now)
 	d.liveEntries = max(len(entries), 1)
-	d.entries = s.reports(now, entries)
+	d.reportedDemand = s.localEntryDemands(now, entries)
 	demand := s.domainDemand(entries)
-	d.wholeDomain = &marbleroadv1.EntryDemand{FailureDomain: s.k.config.FailureDomain}
+	d.summedDemand = &marbleroadv1.EntryDemand{FailureDomain: s.k.config.FailureDomain}
 	for subject, rate := range demand {
-		d.wholeDomain.Teams = append(d.wholeDomain.Teams, &marbleroadv1.TeamDemand{Team: subject, Rate: rate})
+		d.summedDemand.Teams = append(d.summedDemand.Teams, &marbleroadv1.TeamDemand{Team: subject, Rate: rate})
 	}
 	d.allEntries = max(len(s.nodes), d.liveEntries)
 	d.shares = make(map[string]map[string]float64)
 	others := s.otherDomains()
-	registered := len(s.neighbours) + 1
-	level := contactOf(len(live), registered)
+	registered := len(s.localPeers) + 1
+	reach := reachabilityOf(len(live), registered)
 	for subject, rate := range demand {
 		limit := snapshot.Rates[subject]
 		if limit == 0 {
 			continue
 		}
-		own := s.domainShare(now, subject, limit, rate, others)
-		shares := quota.Shares(own, s.entryDemands(now, subject, entries, level))
+		domainLimit := s.domainShare(now, subject, limit, rate, others)
+		shares := quota.Shares(domainLimit, s.entryDemands(now, subject, entries, reach))
 		d.shares[subject] = make(map[string]float64, len(entries))
 		for _, id := range entries {
 			share := shares[id]
-			if level == few && !s.leaseRuns(now) {
-				share = quota.Floor(own, registered)
+			if reach == minorityReachable && !s.demandLeaseActive(now) {
+				share = quota.Floor(domainLimit, registered)
 			}
 			d.shares[subject][id] = s.damper.Apply(now, subject+" "+id, share)
 		}
@@ -71,33 +72,33 @@
 	s.damper.Forget(now)
 }
 
-// leaseRuns reports whether nodes that have not been heard of may still be
-// about to be heard: this process has just started, or has just lost them.
-func (s *state) leaseRuns(now time.Time) bool {
+// demandLeaseActive reports whether nodes that have not responded yet may still do so within
+// the lease: this process has just started, or has just lost them.
+func (s *state) demandLeaseActive(now time.Time) bool {
 	last := s.startedAt
 	for _, p := range s.peers {
-		if p.failureDomain == s.k.config.FailureDomain && p.answeredAt.After(last) {
-			last = p.answeredAt
+		if p.failureDomain == s.k.config.FailureDomain && p.lastSeen.After(last) {
+			last = p.lastSeen
 		}
 	}
 	return now.Sub(last) <= s.leases.demand
 }
 
-// entryDemands lists the demand of the failure domain's entries for one
-// subject. What is not known counts as wanting all, but for nodes that are
-// silent past the lease while most of the others are heard.
-func (s *state) entryDemands(now time.Time, subject string, entries []string, level contact) []quota.Demand {
+// entryDemands lists the demand of the failure domain's entries for one subject. An unknown
+// demand counts as unlimited, except that of nodes that have been unresponsive past the lease
+// while the majority is reachable.
+func (s *state) entryDemands(now time.Time, subject string, entries []string, reach reachability) []quota.Demand {
 	var out []quota.Demand
-	heard := make(map[string]bool, len(entries))
+	reported := make(map[string]bool, len(entries))
 	for _, id := range entries {
-		heard[id] = true
+		reported[id] = true
 		out = append(out, quota.Demand{Entry: id, Rate: rateOf(s.entries[id].demand, subject)})
 	}
-	for _, rec := range s.neighbours {
-		if heard[rec.ID] {
+	for _, rec := range s.localPeers {
+		if reported[rec.ID] {
 			continue
 		}
-		if level == most && now.Sub(s.heardAt(rec.ID)) > s.leases.demand {
+		if reach == majorityReachable && now.Sub(s.peerLastSeen(rec.ID)) > s.leases.demand {
 			continue
 		}
 		out = append(out, quota.Demand{Entry: rec.ID, Rate: quota.WantsAll})
@@ -105,19 +106,21 @@
 	return out
 }
 
-// heardAt is when the node last answered, or this process's start.
-func (s *state) heardAt(id string) time.Time {
+// peerLastSeen returns when the last request that the node answered was sent, or this process's
+// start if there is none.
+func (s *state) peerLastSeen(id string) time.Time {
 	if p := s.peers[id]; p != nil {
-		return p.answeredAt
+		return p.lastSeen
 	}
 	return s.startedAt
 }
 
-// liveEntries lists the entries of this failure domain whose share is reserved.
+// liveEntries lists the entries of this failure domain whose share is reserved, and removes the
+// others.
 func (s *state) liveEntries(now time.Time) []string {
 	var out []string
 	for id, e := range s.entries {
-		if now.Sub(e.at) <= s.leases.demand {
+		if now.Sub(e.reportedAt) <= s.leases.demand {
 			out = append(out, id)
 			continue
 		}
@@ -127,24 +130,25 @@
 	return out
 }
 
-// reports lists the demand of the entries that ask this process.
-func (s *state) reports(now time.Time, live []string) []*marbleroadv1.EntryDemand {
+// localEntryDemands lists the demand of the entries that query this process.
+func (s *state) localEntryDemands(now time.Time, live []string) []*marbleroadv1.EntryDemand {
 	var out []*marbleroadv1.EntryDemand
 	for _, id := range live {
 		e := s.entries[id]
-		if !e.own {
+		if !e.direct {
 			continue
 		}
 		out = append(out, &marbleroadv1.EntryDemand{
 			EntryId:       id,
 			FailureDomain: e.failureDomain,
 			Teams:         e.demand,
-			AgeMs:         uint32(now.Sub(e.at).Milliseconds()),
+			AgeMs:         uint32(now.Sub(e.reportedAt).Milliseconds()),
 		})
 	}
 	return out
 }
 
+// domainDemand sums the demand of the entries by subject.
 func (s *state) domainDemand(live []string) map[string]float64 {
 	out := make(map[string]float64)
 	for _, id := range live {
@@ -155,13 +159,13 @@
 	return out
 }
 
-// domainShare is this failure domain's part of a limit.
-func (s *state) domainShare(now time.Time, subject string, limit, own float64, others []string) float64 {
-	demands := []quota.Demand{{Entry: s.k.config.FailureDomain, Rate: own}}
+// domainShare returns this failure domain's share of a limit.
+func (s *state) domainShare(now time.Time, subject string, limit, domainRate float64, others []string) float64 {
+	demands := []quota.Demand{{Entry: s.k.config.FailureDomain, Rate: domainRate}}
 	for _, domain := range others {
 		e, known := s.domains[domain]
 		rate := quota.WantsAll
-		if known && now.Sub(e.at) <= s.leases.demand {
+		if known && now.Sub(e.reportedAt) <= s.leases.demand {
 			rate = rateOf(e.demand, subject)
 		}
 		demands = append(demands, quota.Demand{Entry: domain, Rate: rate})
@@ -169,6 +173,7 @@
 	return quota.Shares(limit, demands)[s.k.config.FailureDomain]
 }
 
+// otherDomains lists the failure domains of the known nodes other than this one.
 func (s *state) otherDomains() []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -182,6 +187,7 @@
 	return out
 }
 
+// rateOf returns the demand for one subject, 0 if there is none.
 func rateOf(demand []*marbleroadv1.TeamDemand, subject string) float64 {
 	for _, t := range demand {
 		if t.GetTeam() == subject {
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -18,46 +18,46 @@
 
 // Messages to the state actor.
 type (
-	// tick asks to judge everything anew.
+	// tick requests a new evaluation of the control state.
 	tick struct{ now time.Time }
-	// peerAnswered reports an exchange.
-	peerAnswered struct {
+	// exchangeCompleted carries the response of a peer to an exchange.
+	exchangeCompleted struct {
 		id            string
 		failureDomain string
-		asked         time.Time
+		requestedAt   time.Time
 		digest        uint64
 		entries       []*marbleroadv1.EntryDemand
 		platformDown  bool
 	}
-	// entryAsked reports that an entry read the view.
-	entryAsked struct {
+	// viewRequested reports that an entry requested the view.
+	viewRequested struct {
 		id     string
 		at     time.Time
 		demand []*marbleroadv1.TeamDemand
 	}
-	// planTried reports the end of an attempt to commit a plan.
-	planTried struct {
-		fabric string
-		base   uint64
-		err    error
+	// planAttempted reports the outcome of an attempt to read or write a plan.
+	planAttempted struct {
+		fabric      string
+		baseVersion uint64
+		err         error
 	}
-	// askStatus is answered with a *marbleroadv1.StatusResponse.
-	askStatus struct{}
+	// statusRequested requests a *marbleroadv1.StatusResponse.
+	statusRequested struct{}
 )
 
 const (
-	// probersPerVM is how many control processes probe each VM: one at the
-	// probe interval, the others often enough that the VM stays present when
-	// the first fails.
+	// probersPerVM is the number of control processes that probe each VM: one at the probe
+	// interval, the others often enough that the VM stays present when the first one fails.
 	probersPerVM = 2
-	// forgetAfter is how long a VM's witness is kept without news.
-	forgetAfter = 10 * time.Minute
+	// probeResultRetention is how long a VM's last probe result is kept.
+	probeResultRetention = 10 * time.Minute
 )
 
-// duties is what this process has to do now. It is never changed once published.
-type duties struct {
-	// probes are the VMs to probe at the probe interval, backups those that
-	// another process probes so.
+// tickResult is what one tick computed for the other goroutines of this process. It is not
+// changed once published.
+type tickResult struct {
+	// probes are the VMs to probe at the probe interval; backups are those of which another
+	// process is the first prober.
 	probes  []platform.Member
 	backups []platform.Member
 	// peers are the nodes to exchange with.
@@ -65,84 +65,89 @@
 	// reader is true when this process reads the table and the membership list
 	// from the platform for its failure domain.
 	reader bool
-	// snapshot is what is in force, as this process sees it.
+	// snapshot is the state in force as seen by this process.
 	snapshot *view.Snapshot
-	// liveEntries counts the entries of the failure domain.
+	// liveEntries counts the entries of the failure domain whose share is reserved.
 	liveEntries int
 	// allEntries counts the entry VMs of all failure domains.
 	allEntries int
-	// shares are the parts of the limits by subject and entry.
+	// shares are the shares of the limits by subject and entry.
 	shares map[string]map[string]float64
-	// entries is the demand to report to peers.
-	entries []*marbleroadv1.EntryDemand
-	// wholeDomain is the demand of this failure domain, for others.
-	wholeDomain *marbleroadv1.EntryDemand
+	// reportedDemand is the demand of single entries that is reported to peers of this failure
+	// domain.
+	reportedDemand []*marbleroadv1.EntryDemand
+	// summedDemand is the total demand of this failure domain that is reported to other failure
+	// domains.
+	summedDemand *marbleroadv1.EntryDemand
 }
 
+// peerState holds what the last exchange with a peer showed.
 type peerState struct {
 	failureDomain string
-	answeredAt    time.Time
+	lastSeen      time.Time
 	digest        uint64
 	platformDown  bool
 	lost          bool
 }
 
+// entryState holds the last reported demand of an entry or a failure domain.
 type entryState struct {
 	failureDomain string
-	at            time.Time
+	reportedAt    time.Time
 	demand        []*marbleroadv1.TeamDemand
-	// own is true when the entry asked this process itself.
-	own bool
+	// direct is true when the entry itself sent the report to this process.
+	direct bool
 }
 
-// probeDivision is what the division of the probes follows from.
-type probeDivision struct {
+// probeAssignmentInputs identifies the inputs of assignProbes, to detect when they change.
+type probeAssignmentInputs struct {
 	live    string
 	members uint64
 }
 
-// domainDivision is what the division of the failure domains follows from. A
-// snapshot's list of nodes is never changed, so its first element's address
-// tells one list from another.
-type domainDivision struct {
+// delegationInputs identifies the inputs of assignDomains, to detect when they change. A
+// snapshot's list of nodes is never changed, so the address of its first element distinguishes
+// one list from another.
+type delegationInputs struct {
 	live  string
 	nodes int
 	first *node.Record
 }
 
-// state is the actor that owns the control state. Every field belongs to it.
+// state is the actor that owns the control state. No other goroutine accesses its fields.
 type state struct {
 	k       *Control
 	builder *view.Builder
 
 	peers map[string]*peerState
-	// entries are this failure domain's entries by ID.
+	// entries holds this failure domain's entries by ID.
 	entries map[string]entryState
-	// domains are other failure domains' summed demands.
+	// domains holds the summed demand of other failure domains.
 	domains map[string]entryState
 
-	// leases follow from the number of peers, as of the last tick.
+	// leases depend on the number of peers, as of the last tick.
 	leases leases
-	// damper keeps the shares of all entries together within the limit.
+	// damper keeps the sum of all entries' shares within the limit.
 	damper quota.Damper
 
-	// missingSince is when a VM was first found absent.
+	// missingSince is when each missing VM was first found absent.
 	missingSince map[string]time.Time
-	// retiringSince is when a group was first seen retiring.
+	// retiringSince is when each retiring group was first seen retiring.
 	retiringSince map[string]time.Time
-	planner       map[string]*fabricState
-	// ordering is when each VM was last sent an order.
-	ordering map[string]time.Time
+	// planner holds the planning state of each fabric domain.
+	planner map[string]*fabricPlanner
+	// lastOrderAt is when each VM was last sent an order.
+	lastOrderAt map[string]time.Time
 
-	// division is what probes and backups were last divided by.
-	division probeDivision
-	probes   []platform.Member
-	backups  []platform.Member
+	// probeInputs are the inputs that probes and backups were last computed from.
+	probeInputs probeAssignmentInputs
+	probes      []platform.Member
+	backups     []platform.Member
 
-	// domainsBy is what neighbours and delegated were last divided by.
-	domainsBy  domainDivision
-	neighbours []node.Record
-	delegated  map[string][]node.Record
+	// domainInputs are the inputs that localPeers and delegatedDomains were last computed from.
+	domainInputs     delegationInputs
+	localPeers       []node.Record
+	delegatedDomains map[string][]node.Record
 
 	// nodes are the records of all known entry VMs, as of the last tick.
 	nodes []node.Record
@@ -166,8 +171,8 @@
 		damper:        quota.Damper{},
 		missingSince:  make(map[string]time.Time),
 		retiringSince: make(map[string]time.Time),
-		planner:       make(map[string]*fabricState),
-		ordering:      make(map[string]time.Time),
+		planner:       make(map[string]*fabricPlanner),
+		lastOrderAt:   make(map[string]time.Time),
 		downSince:     make(map[string]time.Time),
 	}
 }
@@ -177,45 +182,47 @@
 	switch m := c.Message().(type) {
 	case tick:
 		s.tick(m.now)
-	case peerAnswered:
-		s.peerAnswered(m)
-	case entryAsked:
-		s.entries[m.id] = entryState{failureDomain: s.k.config.FailureDomain, at: m.at, demand: m.demand, own: true}
-	case planTried:
-		s.planTried(m)
-	case askStatus:
+	case exchangeCompleted:
+		s.exchangeCompleted(m)
+	case viewRequested:
+		s.entries[m.id] = entryState{failureDomain: s.k.config.FailureDomain, reportedAt: m.at, demand: m.demand, direct: true}
+	case planAttempted:
+		s.planAttempted(m)
+	case statusRequested:
 		c.Respond(s.status(clock.Now()))
 	}
 }
 
+// tick evaluates the control state, publishes the result and plans.
 func (s *state) tick(now time.Time) {
-	snapshot, faults := s.builder.Build(s.k.board, now, s.k.config.Window)
-	for _, f := range faults {
+	snapshot, decodeErrors := s.builder.Build(s.k.registry, now, s.k.config.Window)
+	for _, f := range decodeErrors {
 		s.k.parts.Log.Emit(event.RowUnreadable).Str("key", f.Key).Err(f.Err).Send()
 	}
-	s.loseSilentPeers(now)
+	s.markLostPeers(now)
 	s.trackMissing(now, snapshot)
-	s.account(now, snapshot)
-	s.k.board.Forget(now.Add(-forgetAfter))
+	s.trackDowntime(now, snapshot)
+	s.k.registry.Forget(now.Add(-probeResultRetention))
 	live := s.liveNodes(now)
 	s.nodes = snapshot.Nodes
-	s.leases = leasesFor(exchangeInterval(s.k.config.ExchangeInterval, len(s.neighbours)))
-	s.damper.Hold = s.leases.hold
+	s.leases = leasesFor(exchangeInterval(s.k.config.ExchangeInterval, len(s.localPeers)))
+	s.damper.Hold = s.leases.increaseDelay
 	sort.Strings(live)
-	d := &duties{
+	d := &tickResult{
 		peers:    s.exchangePeers(live),
-		reader:   hinted("read/"+s.k.config.FailureDomain, s.readers(live), 1, s.k.config.NodeID),
+		reader:   isPreferredOwner("read/"+s.k.config.FailureDomain, s.readers(live), 1, s.k.config.NodeID),
 		snapshot: snapshot,
 	}
-	s.divideProbes(snapshot, live)
+	s.assignProbes(snapshot, live)
 	d.probes, d.backups = s.probes, s.backups
-	s.divideLimits(now, snapshot, live, d)
-	s.k.duties.Store(d)
+	s.computeShares(now, snapshot, live, d)
+	s.k.tickResult.Store(d)
 	s.plan(now, snapshot, live)
 	s.lastTick = now
 	s.reportTraffic()
 }
 
+// reportTraffic sets the metrics of bytes sent and received.
 func (s *state) reportTraffic() {
 	t := &s.k.parts.Peers.Traffic
 	for name, m := range map[string]*transport.Meter{
@@ -231,15 +238,15 @@
 func (s *state) liveNodes(now time.Time) []string {
 	out := []string{s.k.config.NodeID}
 	for id, p := range s.peers {
-		if p.failureDomain == s.k.config.FailureDomain && now.Sub(p.answeredAt) <= s.leases.peer {
+		if p.failureDomain == s.k.config.FailureDomain && now.Sub(p.lastSeen) <= s.leases.peer {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// readers lists the live nodes that the platform answers; all live ones when
-// it answers none, so that somebody keeps trying.
+// readers lists the live nodes that reach the platform, or all live ones when none does, so
+// that one keeps retrying.
 func (s *state) readers(live []string) []string {
 	var out []string
 	for _, id := range live {
@@ -257,7 +264,8 @@
 	return out
 }
 
-func (s *state) peerAnswered(m peerAnswered) {
+// exchangeCompleted records the response of a peer.
+func (s *state) exchangeCompleted(m exchangeCompleted) {
 	p := s.peers[m.id]
 	if p == nil {
 		p = &peerState{}
@@ -268,38 +276,39 @@
 		s.k.parts.Log.Emit(event.PeerReturned).Str("peer", m.id).Send()
 	}
 	p.failureDomain = m.failureDomain
-	p.answeredAt = m.asked
+	p.lastSeen = m.requestedAt
 	p.digest = m.digest
 	p.platformDown = m.platformDown
 	for _, e := range m.entries {
-		s.noteDemand(m, e)
+		s.recordDemand(m, e)
 	}
 }
 
-// noteDemand keeps the newest report of an entry, or of another failure domain.
-func (s *state) noteDemand(m peerAnswered, e *marbleroadv1.EntryDemand) {
-	at := m.asked.Add(-time.Duration(e.GetAgeMs()) * time.Millisecond)
-	into, key := s.entries, e.GetEntryId()
+// recordDemand keeps the newest report of an entry, or of another failure domain.
+func (s *state) recordDemand(m exchangeCompleted, e *marbleroadv1.EntryDemand) {
+	reportedAt := m.requestedAt.Add(-time.Duration(e.GetAgeMs()) * time.Millisecond)
+	target, key := s.entries, e.GetEntryId()
 	if e.GetFailureDomain() != s.k.config.FailureDomain {
-		into, key = s.domains, e.GetFailureDomain()
+		target, key = s.domains, e.GetFailureDomain()
 	}
-	if key == "" || !at.After(into[key].at) {
+	if key == "" || !reportedAt.After(target[key].reportedAt) {
 		return
 	}
-	into[key] = entryState{failureDomain: e.GetFailureDomain(), at: at, demand: e.GetTeams()}
+	target[key] = entryState{failureDomain: e.GetFailureDomain(), reportedAt: reportedAt, demand: e.GetTeams()}
 }
 
-func (s *state) loseSilentPeers(now time.Time) {
+// markLostPeers marks and logs the peers whose lease has expired.
+func (s *state) markLostPeers(now time.Time) {
 	for id, p := range s.peers {
-		if !p.lost && now.Sub(p.answeredAt) > s.leases.peer {
+		if !p.lost && now.Sub(p.lastSeen) > s.leases.peer {
 			p.lost = true
 			s.k.parts.Log.Emit(event.PeerLost).Str("peer", id).Send()
 		}
 	}
 }
 
-// trackMissing notes since when each VM of the fleet has been absent. The
-// clock starts here, not in the store, so a new planner waits anew.
+// trackMissing records since when each VM of the fleet has been absent. The time is kept in
+// memory only, not in the store, so a new planner starts from zero.
 func (s *state) trackMissing(now time.Time, snapshot *view.Snapshot) {
 	known := make(map[string]bool, len(snapshot.Members))
 	for vm := range snapshot.Members {
@@ -311,7 +320,7 @@
 		}
 	}
 	for vm := range known {
-		s.trackVM(now, vm)
+		s.updateMissing(now, vm)
 	}
 	for vm := range s.missingSince {
 		if !known[vm] {
@@ -320,9 +329,10 @@
 	}
 }
 
-func (s *state) trackVM(now time.Time, vm string) {
-	w, ok := s.k.board.Get(vm)
-	present := ok && w.Fresh(now, s.k.config.Window)
+// updateMissing records whether one VM is absent, and logs when that changes.
+func (s *state) updateMissing(now time.Time, vm string) {
+	probe, ok := s.k.registry.Get(vm)
+	present := ok && probe.Fresh(now, s.k.config.Window)
 	_, missing := s.missingSince[vm]
 	switch {
 	case present && missing:
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -9,9 +9,9 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// status describes the failure domain as this process sees it.
+// status describes the failure domain as seen by this process.
 func (s *state) status(now time.Time) *marbleroadv1.StatusResponse {
-	snapshot, _ := s.builder.Build(s.k.board, now, s.k.config.Window)
+	snapshot, _ := s.builder.Build(s.k.registry, now, s.k.config.Window)
 	out := &marbleroadv1.StatusResponse{
 		NodeId:            s.k.config.NodeID,
 		FailureDomain:     s.k.config.FailureDomain,
@@ -24,18 +24,19 @@
 	}
 	for _, p := range snapshot.Plans {
 		for _, g := range p.Groups {
-			one := s.groupStatus(now, snapshot, p, g)
-			out.Groups = append(out.Groups, one)
-			out.StrandedVms += one.Stranded
+			group := s.groupStatus(now, snapshot, p, g)
+			out.Groups = append(out.Groups, group)
+			out.StrandedVms += group.Stranded
 		}
 	}
-	out.Groups = append(out.Groups, s.unformed(snapshot)...)
+	out.Groups = append(out.Groups, s.unformedReplicas(snapshot)...)
 	out.SpareVms = s.spareVMs(now, snapshot)
 	return out
 }
 
+// groupStatus describes one planned group.
 func (s *state) groupStatus(now time.Time, snapshot *view.Snapshot, p *groups.Plan, g groups.Group) *marbleroadv1.GroupStatus {
-	verdict := groups.Eligible(p, g, s.k.board, snapshot.Leaving, now, s.k.config.Window)
+	verdict := groups.Eligible(p, g, s.k.registry, snapshot.Leaving, now, s.k.config.Window)
 	out := &marbleroadv1.GroupStatus{
 		FailureDomain: s.k.config.FailureDomain,
 		Fabric:        p.Fabric,
@@ -48,7 +49,7 @@
 		Size:          uint32(g.Size),
 	}
 	if !out.Serving {
-		out.Stranded = uint32(s.strandedIn(p, g))
+		out.Stranded = uint32(s.countStranded(p, g))
 		if since, ok := s.downSince[g.ID]; ok {
 			out.DownSeconds = now.Sub(since).Seconds()
 		}
@@ -56,54 +57,56 @@
 	return out
 }
 
-// unformed lists the replicas that rows want but that no plan holds.
-func (s *state) unformed(snapshot *view.Snapshot) []*marbleroadv1.GroupStatus {
+// unformedReplicas lists the replicas that groups rows require but no plan contains.
+func (s *state) unformedReplicas(snapshot *view.Snapshot) []*marbleroadv1.GroupStatus {
 	var out []*marbleroadv1.GroupStatus
-	for _, w := range snapshot.Wants {
+	for _, row := range snapshot.Wants {
 		planned := 0
 		for _, p := range snapshot.Plans {
 			for _, g := range p.Groups {
-				if g.Row == w.Name && g.Phase == groups.Active {
+				if g.Row == row.Name && g.Phase == groups.Active {
 					planned++
 				}
 			}
 		}
-		for range max(w.Replicas-planned, 0) {
+		for range max(row.Replicas-planned, 0) {
 			out = append(out, &marbleroadv1.GroupStatus{
 				FailureDomain: s.k.config.FailureDomain,
-				Fabric:        w.Fabric,
-				Group:         w.Name,
-				Service:       w.Service,
+				Fabric:        row.Fabric,
+				Group:         row.Name,
+				Service:       row.Service,
 				Reason:        "not formed: too few free VMs",
-				Size:          uint32(w.VMs),
+				Size:          uint32(row.VMs),
 			})
 		}
 	}
 	return out
 }
 
+// nodeStatus describes the known nodes, ordered by ID.
 func (s *state) nodeStatus(now time.Time) []*marbleroadv1.NodeStatus {
 	var out []*marbleroadv1.NodeStatus
 	for _, rec := range s.nodes {
-		one := &marbleroadv1.NodeStatus{
+		status := &marbleroadv1.NodeStatus{
 			Id:            rec.ID,
 			FailureDomain: rec.FailureDomain,
 			Address:       rec.Control,
 		}
 		if p := s.peers[rec.ID]; p != nil {
-			one.Alive = now.Sub(p.answeredAt) <= s.leases.peer
-			one.TableDigest = p.digest
+			status.Alive = now.Sub(p.lastSeen) <= s.leases.peer
+			status.TableDigest = p.digest
 		}
 		if rec.ID == s.k.config.NodeID {
-			one.Alive = true
-			one.TableDigest = s.k.items.Digest()
+			status.Alive = true
+			status.TableDigest = s.k.items.Digest()
 		}
-		out = append(out, one)
+		out = append(out, status)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].GetId() < out[j].GetId() })
 	return out
 }
 
+// spareVMs counts the present, undrained VMs for models that no plan assigns.
 func (s *state) spareVMs(now time.Time, snapshot *view.Snapshot) uint32 {
 	assigned := make(map[string]bool)
 	for _, p := range snapshot.Plans {
@@ -113,8 +116,8 @@
 	}
 	n := uint32(0)
 	for vm, m := range snapshot.Members {
-		w, ok := s.k.board.Get(vm)
-		if ok && w.Fresh(now, s.k.config.Window) && !assigned[vm] && !snapshot.Leaving[vm] && s.pooled(snapshot, m.Pool) {
+		probe, ok := s.k.registry.Get(vm)
+		if ok && probe.Fresh(now, s.k.config.Window) && !assigned[vm] && !snapshot.Leaving[vm] && s.poolRunsModels(snapshot, m.Pool) {
 			n++
 		}
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -58,7 +58,7 @@
 mutant "an edit on an old version is accepted" internal/control/apply.go \
   's/if e\.message\.GetForce\(\) \|\| base == version/if true || base == version/' ./test/integration TestLostRaceShowsBothValues
 mutant "a lost answer of a write counts as a failure" internal/control/apply.go \
-  's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.resolveEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
+  's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.confirmEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
 mutant "a fresh node is ready with a peer's table though the platform answers" internal/control/exchange.go \
   's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeThatMeetsOnlyAStalePeer
 mutant "a non-idempotent request goes out on a reused connection" internal/relay/sender.go \
@@ -84,7 +84,7 @@
 mutant "a leaving VM gets work" internal/view/view.go \
   's/ && !seen\.Leaving && !s\.Leaving\[seen\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not held while the platform is down" internal/control/drain.go \
-  's/\tk\.holdDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
+  's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
 mutant "a stop does not wait for answers in flight" internal/entry/server.go \
   's/case <-done:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
 mutant "a stop does not wait for outcomes to be stored" internal/entry/server.go \
