--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,5 @@
-// Package node holds the record by which an entry VM's daemons are found.
+// Package node defines the stored record of an entry VM, which contains the addresses of its
+// daemons.
 package node
 
 import (
@@ -17,23 +18,24 @@
 	Control string `json:"control"`
 	// EntryPeer is the address where the entry takes other entries' requests.
 	EntryPeer string `json:"entry_peer"`
-	// Version rises with each start of the VM's control daemon.
+	// Version increases with each start of the VM's control daemon and when the record is
+	// retired.
 	Version uint64 `json:"version"`
-	// Retired marks the record of a VM that is long gone.
+	// Retired marks the record of a VM that has been unresponsive for long.
 	Retired bool `json:"retired,omitempty"`
 }
 
-// Key returns the record's key.
+// Key returns the key of a node's record.
 func Key(id string) string { return item.NodePrefix + id }
 
-// Decode reads a record.
+// Decode decodes a stored record.
 func Decode(value []byte) (Record, error) {
 	var r Record
 	err := json.Unmarshal(value, &r)
 	return r, errors.Wrap(err, "decode node record")
 }
 
-// Item encodes the record.
+// Item encodes the record as an item.
 func (r Record) Item() (item.Item, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -1,6 +1,6 @@
-// Package startup tells what a daemon that has started still lacks before it can serve. It answers
-// one load pattern: all nodes of a site start at the same moment, wait for the same few things, and
-// only the lines of each node can say for which.
+// Package startup reports which requirements a started daemon still lacks before it can serve.
+// It serves to analyze a mass restart: all nodes of a failure domain start at the same moment
+// and wait for the same few things, and only each node's own log lines show which.
 package startup
 
 import (
@@ -18,72 +18,75 @@
 const ServiceName = "startup"
 
 const (
-	// lookInterval is the time between two looks at the parts.
-	lookInterval = 50 * time.Millisecond
-	// lineInterval is the time between two lines of a node that lacks something, and
-	// lateLineInterval the same once lateAfter has passed since its start.
+	// checkInterval is the time between two checks of the requirements.
+	checkInterval = 50 * time.Millisecond
+	// lineInterval is the minimum time between two log lines of a node that lacks something;
+	// lateLineInterval applies instead once lateAfter has passed since the start.
 	lineInterval     = time.Second
 	lateLineInterval = 30 * time.Second
 	lateAfter        = 30 * time.Second
 )
 
-// Part is something that a node needs before it can serve.
+// Part is a requirement that a node must meet before it can serve.
 type Part struct {
 	Name string
-	// There reports whether the node has it; it is called on the watch's goroutine.
+	// There reports whether the requirement is met. It is called on the watch's goroutine.
 	There func() bool
 }
 
-// Progress is what was there since when. Its methods are pure.
+// Progress records when each requirement was first met. Its methods read no clock.
 type Progress struct {
 	startedAt time.Time
 	names     []string
-	// after is how long after the start each part was first there; negative before.
-	after  []time.Duration
-	toldAt time.Time
+	// metAfter is the time from the start until each requirement was first met; negative until
+	// then.
+	metAfter []time.Duration
+	loggedAt time.Time
 }
 
-// NewProgress returns the progress of a start at the given time.
+// NewProgress returns the progress of a start at the given time, with no requirement met.
 func NewProgress(startedAt time.Time, names []string) *Progress {
-	p := &Progress{startedAt: startedAt, names: names, after: make([]time.Duration, len(names)), toldAt: startedAt}
-	for i := range p.after {
-		p.after[i] = -1
+	p := &Progress{startedAt: startedAt, names: names, metAfter: make([]time.Duration, len(names)), loggedAt: startedAt}
+	for i := range p.metAfter {
+		p.metAfter[i] = -1
 	}
 	return p
 }
 
-// Seen notes that a part is there. Parts that come and go count from their first time.
+// Seen records that a requirement is met. Only the first time counts, also if it is not met for
+// a while afterwards.
 func (p *Progress) Seen(i int, now time.Time) {
-	if p.after[i] < 0 {
-		p.after[i] = now.Sub(p.startedAt)
+	if p.metAfter[i] < 0 {
+		p.metAfter[i] = now.Sub(p.startedAt)
 	}
 }
 
-// Missing names the parts that were never there.
+// Missing returns the names of the requirements that have never been met.
 func (p *Progress) Missing() []string {
 	var out []string
-	for i, after := range p.after {
-		if after < 0 {
+	for i, duration := range p.metAfter {
+		if duration < 0 {
 			out = append(out, p.names[i])
 		}
 	}
 	return out
 }
 
-// Due reports whether a line about missing parts is due, and counts it as written.
+// Due reports whether a log line about missing requirements is due. If so, the next one is due
+// an interval later.
 func (p *Progress) Due(now time.Time) bool {
 	interval := lineInterval
 	if now.Sub(p.startedAt) > lateAfter {
 		interval = lateLineInterval
 	}
-	if now.Sub(p.toldAt) < interval {
+	if now.Sub(p.loggedAt) < interval {
 		return false
 	}
-	p.toldAt = now
+	p.loggedAt = now
 	return true
 }
 
-// Watch looks at the parts until all were there once. It implements kernel.Service.
+// Watch checks the requirements until each has been met once. It implements kernel.Service.
 type Watch struct {
 	parts    []Part
 	progress *Progress
@@ -92,7 +95,7 @@
 	running  wait.Loop
 }
 
-// NewWatch returns a watch over the parts of a daemon that starts now.
+// NewWatch returns a watch over the requirements of a daemon that starts now.
 func NewWatch(log *event.Logger, registry *metrics.Registry, parts ...Part) *Watch {
 	names := make([]string, len(parts))
 	for i, part := range parts {
@@ -119,7 +122,7 @@
 func (w *Watch) loop(ctx context.Context) {
 	for {
 		now := clock.Now()
-		w.look(now)
+		w.check(now)
 		missing := w.progress.Missing()
 		if len(missing) == 0 {
 			w.complete()
@@ -129,25 +132,27 @@
 			w.log.Emit(event.StartIncomplete).Str("missing", strings.Join(missing, ",")).
 				Dur("since_start_ms", now.Sub(w.progress.startedAt)).Send()
 		}
-		if !wait.Sleep(ctx, lookInterval) {
+		if !wait.Sleep(ctx, checkInterval) {
 			return
 		}
 	}
 }
 
-func (w *Watch) look(now time.Time) {
+// check records the requirements that are now met and sets their metrics.
+func (w *Watch) check(now time.Time) {
 	for i, part := range w.parts {
-		if w.progress.after[i] < 0 && part.There() {
+		if w.progress.metAfter[i] < 0 && part.There() {
 			w.progress.Seen(i, now)
-			w.metrics.Set("start."+part.Name+"_ms", w.progress.after[i].Milliseconds())
+			w.metrics.Set("start."+part.Name+"_ms", w.progress.metAfter[i].Milliseconds())
 		}
 	}
 }
 
+// complete logs how long each requirement took.
 func (w *Watch) complete() {
 	line := w.log.Emit(event.StartComplete)
 	for i, part := range w.parts {
-		line = line.Dur(part.Name+"_ms", w.progress.after[i])
+		line = line.Dur(part.Name+"_ms", w.progress.metAfter[i])
 	}
 	line.Send()
 }
--- a/internal/startup/startup_test.go
+++ b/internal/startup/startup_test.go
@@ -13,6 +13,8 @@
 	"github.com/marbleroad/marbleroad/internal/metrics"
 )
 
+// TestProgressOfAStart checks that a requirement counts from the first time it is met, and that
+// the number of log lines of a long start is bounded.
 func TestProgressOfAStart(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p := NewProgress(start, []string{"configuration", "upstreams"})
@@ -21,11 +23,11 @@
 	if got := p.Missing(); !slices.Equal(got, []string{"configuration"}) {
 		t.Errorf("missing %v", got)
 	}
-	if p.after[1] != 300*time.Millisecond {
-		t.Errorf("a part that was there before counts from its later return, %v", p.after[1])
+	if p.metAfter[1] != 300*time.Millisecond {
+		t.Errorf("a requirement met twice counts from its second time, %v", p.metAfter[1])
 	}
 	lines := 0
-	for now := start; now.Before(start.Add(5 * time.Minute)); now = now.Add(lookInterval) {
+	for now := start; now.Before(start.Add(5 * time.Minute)); now = now.Add(checkInterval) {
 		if p.Due(now) {
 			lines++
 		}
@@ -35,18 +37,19 @@
 	}
 }
 
-// TestCompleteStartIsTold: what took longest is told once all parts are there, and the watch ends.
-func TestCompleteStartIsTold(t *testing.T) {
+// TestCompleteStartIsLogged checks that the durations are logged once when all requirements are
+// met, and that the watch then ends.
+func TestCompleteStartIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	log, err := event.New(&out, "info", "n", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	registry := metrics.NewRegistry()
-	var looks atomic.Int32
+	var checks atomic.Int32
 	w := NewWatch(log, registry,
 		Part{"configuration", func() bool { return true }},
-		Part{"upstreams", func() bool { return looks.Add(1) > 3 }})
+		Part{"upstreams", func() bool { return checks.Add(1) > 3 }})
 	w.loop(context.Background())
 	if got := out.String(); strings.Count(got, `"event":1015`) != 1 || !strings.Contains(got, "upstreams_ms") {
 		t.Errorf("lines %s", got)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,6 +1,6 @@
-// Package view turns items and witnesses into what the request path reads: an
-// immutable snapshot of teams, services and upstreams. Entries and control
-// processes build it by the same code.
+// Package view builds the immutable snapshot of teams, services and upstreams that the request
+// path reads from items and probe results. Entries and control processes build it with the same
+// code.
 package view
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/marbleroad/marbleroad/internal/table"
 )
 
-// Upstream is one place that a request can go to: a complete group's first VM,
-// or one VM of a plain service.
+// Upstream is a destination for requests: the head of a complete group, or one VM of a plain
+// service.
 type Upstream struct {
 	// ID is the group's ID, or the VM's name for a plain service.
 	ID         string
@@ -26,10 +26,10 @@
 	Generation uint64
 	// Slots is how many requests the upstream runs at once; at least 1.
 	Slots int
-	// InFlight and Queued are the upstream's own lagging report.
+	// InFlight and Queued are the upstream's own report; it lags behind.
 	InFlight int
 	Queued   int
-	// Until is when the upstream must no longer be trusted to be whole.
+	// Until is when the probe results expire by which the upstream is eligible.
 	Until time.Time
 }
 
@@ -39,26 +39,26 @@
 	table.Team
 }
 
-// Service is a service's row with its name and what serves it now.
+// Service is a service's row with its name and its eligible upstreams.
 type Service struct {
 	Name string
 	table.Service
 	Upstreams []Upstream
 }
 
-// LimitKey names one team's limit at one service.
+// LimitKey identifies one team's limit at one service.
 type LimitKey struct {
 	Team    string
 	Service string
 }
 
-// Snapshot is what is in force at one moment. It is never changed once built.
+// Snapshot is the state in force at one moment. It is not changed once built.
 type Snapshot struct {
 	// Teams is keyed by the hex SHA-256 of the team's key.
 	Teams    map[string]Team
 	Services map[string]Service
 	Limits   map[LimitKey]table.Limit
-	// Rates holds the rate over all entries of each subject that has one.
+	// Rates holds the rate limit over all entries by subject, for subjects that have one.
 	Rates map[string]float64
 	// Members lists the upstream VMs of this failure domain by name.
 	Members map[string]platform.Member
@@ -79,62 +79,63 @@
 	table.Group
 }
 
-// Fault is an item that could not be read.
+// Fault describes an item that could not be decoded.
 type Fault struct {
 	Key string
 	Err error
 }
 
-// Builder keeps decoded items, so that a rebuild decodes only what changed.
-// It belongs to one goroutine.
+// Builder caches decoded items, so that a rebuild decodes only what has changed. It must be
+// used by one goroutine only.
 type Builder struct {
 	failureDomain string
 	items         *item.Set
-	rows          map[string]decodedRow
-	plans         map[string]decodedPlan
+	rows          map[string]cachedRow
+	plans         map[string]cachedPlan
 	nodes         map[string]node.Record
 	members       platform.MemberList
-	// base holds all but the upstreams, as of sequence. It is never changed.
+	// base holds everything but the upstreams, as of sequence. It is not changed once built.
 	base     *Snapshot
 	sequence uint64
 }
 
-type decodedRow struct {
+type cachedRow struct {
 	version uint64
 	row     *table.Row
 }
 
-type decodedPlan struct {
+type cachedPlan struct {
 	version uint64
 	plan    *groups.Plan
 }
 
-// NewBuilder returns a builder over the items for one failure domain.
+// NewBuilder returns a builder of one failure domain's snapshots from the items.
 func NewBuilder(failureDomain string, items *item.Set) *Builder {
 	return &Builder{
 		failureDomain: failureDomain,
 		items:         items,
-		rows:          make(map[string]decodedRow),
-		plans:         make(map[string]decodedPlan),
+		rows:          make(map[string]cachedRow),
+		plans:         make(map[string]cachedPlan),
 		nodes:         make(map[string]node.Record),
 	}
 }
 
-// Build returns the snapshot at now. An item that cannot be read leaves its
-// last good version in force and is reported as a fault, once per version.
-func (b *Builder) Build(w groups.Witnesses, now time.Time, window time.Duration) (*Snapshot, []Fault) {
-	faults := b.refresh()
+// Build returns the snapshot at now. A row, plan or membership list that cannot be decoded leaves
+// its last valid version in force and is reported once per version. Drain orders and node records
+// that cannot be decoded are left out; the former are reported whenever any item has changed.
+func (b *Builder) Build(results groups.Witnesses, now time.Time, window time.Duration) (*Snapshot, []Fault) {
+	errs := b.refresh()
 	s := *b.base
 	s.Services = make(map[string]Service, len(b.base.Services))
 	for name, service := range b.base.Services {
 		s.Services[name] = service
 	}
-	b.addGroups(&s, w, now, window)
-	b.addPlain(&s, w, now, window)
-	return &s, faults
+	b.addGroupUpstreams(&s, results, now, window)
+	b.addPlainUpstreams(&s, results, now, window)
+	return &s, errs
 }
 
-// refresh reads the items again if any has changed.
+// refresh rebuilds the base from the items if any has changed.
 func (b *Builder) refresh() []Fault {
 	sequence := b.items.Sequence()
 	if b.base != nil && b.sequence == sequence {
@@ -148,36 +149,37 @@
 		Members:  make(map[string]platform.Member),
 		Leaving:  make(map[string]bool),
 	}
-	faults := b.readRows(s)
-	faults = append(faults, b.readMembers(s)...)
-	faults = append(faults, b.readDrains(s)...)
-	faults = append(faults, b.readPlans(s)...)
-	faults = append(faults, b.readNodes(s)...)
+	errs := b.readRows(s)
+	errs = append(errs, b.readMembers(s)...)
+	errs = append(errs, b.readDrains(s)...)
+	errs = append(errs, b.readPlans(s)...)
+	errs = append(errs, b.readNodes(s)...)
 	b.base = s
 	b.sequence = sequence
-	return faults
+	return errs
 }
 
 func (b *Builder) readRows(s *Snapshot) []Fault {
-	var faults []Fault
+	var errs []Fault
 	for _, it := range b.items.List(item.TablePrefix) {
-		known := b.rows[it.Key]
-		if known.version != it.Version {
+		cached := b.rows[it.Key]
+		if cached.version != it.Version {
 			row, err := table.Decode(it.Value)
 			if err != nil {
-				faults = append(faults, Fault{Key: it.Key, Err: err})
-				row = known.row
+				errs = append(errs, Fault{Key: it.Key, Err: err})
+				row = cached.row
 			}
-			known = decodedRow{version: it.Version, row: row}
-			b.rows[it.Key] = known
+			cached = cachedRow{version: it.Version, row: row}
+			b.rows[it.Key] = cached
 		}
-		if known.row != nil && !known.row.Deleted {
-			s.addRow(known.row, b.failureDomain)
+		if cached.row != nil && !cached.row.Deleted {
+			s.addRow(cached.row, b.failureDomain)
 		}
 	}
-	return faults
+	return errs
 }
 
+// addRow adds a live row of the table. Groups rows of other failure domains are left out.
 func (s *Snapshot) addRow(r *table.Row, failureDomain string) {
 	s.Rows++
 	switch {
@@ -196,13 +198,15 @@
 	}
 }
 
+// addRate adds the rate limit of a subject; 0 means that there is none.
 func (s *Snapshot) addRate(subject string, rate float64) {
 	if rate > 0 {
 		s.Rates[subject] = rate
 	}
 }
 
-// SubjectOf names a team at a service among the limited subjects.
+// SubjectOf returns the subject of a team's limit at one service. The team's own name is the
+// subject of its limit at all services.
 func SubjectOf(team, service string) string { return team + "/" + service }
 
 // MembersKey returns the key of a failure domain's membership list.
@@ -215,11 +219,11 @@
 	if !ok {
 		return nil
 	}
-	var faults []Fault
+	var errs []Fault
 	if b.members.Version != it.Version {
 		var list platform.MemberList
 		if err := json.Unmarshal(it.Value, &list); err != nil {
-			faults = append(faults, Fault{Key: it.Key, Err: err})
+			errs = append(errs, Fault{Key: it.Key, Err: err})
 			list = b.members
 		}
 		list.Version = it.Version
@@ -231,108 +235,112 @@
 			s.Leaving[m.VM] = true
 		}
 	}
-	return faults
+	return errs
 }
 
-// Drain is a drain order held by the failure domain until the platform stores it.
+// Drain is a drain order that the failure domain's processes share until the platform stores
+// it.
 type Drain struct {
 	VM     string `json:"vm"`
 	Drain  bool   `json:"drain"`
 	Author string `json:"author"`
-	// Stored is true once the table holds the order; the item then has no effect.
+	// Stored is true once the table contains the order; the item then has no effect.
 	Stored bool `json:"stored"`
 }
 
-// DrainKey returns the key of a held drain order.
+// DrainKey returns the key of a pending drain order.
 func DrainKey(failureDomain, vm string) string {
 	return item.DrainPrefix + failureDomain + "/" + vm
 }
 
 func (b *Builder) readDrains(s *Snapshot) []Fault {
-	var faults []Fault
+	var errs []Fault
 	for _, it := range b.items.List(item.DrainPrefix + b.failureDomain + "/") {
-		var order Drain
-		if err := json.Unmarshal(it.Value, &order); err != nil {
-			faults = append(faults, Fault{Key: it.Key, Err: err})
+		var pending Drain
+		if err := json.Unmarshal(it.Value, &pending); err != nil {
+			errs = append(errs, Fault{Key: it.Key, Err: err})
 			continue
 		}
-		if order.Stored {
+		if pending.Stored {
 			continue
 		}
-		// An undrain lifts the table's order, never the platform's word.
-		if order.Drain || s.Members[order.VM].State != platform.Live {
-			s.Leaving[order.VM] = true
+		// An undrain overrides the drain order of the table, but not the platform's state of
+		// the VM.
+		if pending.Drain || s.Members[pending.VM].State != platform.Live {
+			s.Leaving[pending.VM] = true
 			continue
 		}
-		delete(s.Leaving, order.VM)
+		delete(s.Leaving, pending.VM)
 	}
-	return faults
+	return errs
 }
 
 func (b *Builder) readPlans(s *Snapshot) []Fault {
-	var faults []Fault
+	var errs []Fault
 	for _, it := range b.items.List(item.PlanPrefix + b.failureDomain + "/") {
-		known := b.plans[it.Key]
-		if known.version != it.Version {
+		cached := b.plans[it.Key]
+		if cached.version != it.Version {
 			plan, err := groups.Decode(it.Value)
 			if err != nil {
-				faults = append(faults, Fault{Key: it.Key, Err: err})
-				plan = known.plan
+				errs = append(errs, Fault{Key: it.Key, Err: err})
+				plan = cached.plan
 			}
-			known = decodedPlan{version: it.Version, plan: plan}
-			b.plans[it.Key] = known
+			cached = cachedPlan{version: it.Version, plan: plan}
+			b.plans[it.Key] = cached
 		}
-		if known.plan != nil {
-			s.Plans = append(s.Plans, known.plan)
+		if cached.plan != nil {
+			s.Plans = append(s.Plans, cached.plan)
 		}
 	}
-	return faults
+	return errs
 }
 
 func (b *Builder) readNodes(s *Snapshot) []Fault {
-	var faults []Fault
+	var errs []Fault
 	for _, it := range b.items.List(item.NodePrefix) {
-		known := b.nodes[it.Key]
-		if known.Version != it.Version {
+		cached := b.nodes[it.Key]
+		if cached.Version != it.Version {
 			rec, err := node.Decode(it.Value)
 			if err != nil {
-				faults = append(faults, Fault{Key: it.Key, Err: err})
+				errs = append(errs, Fault{Key: it.Key, Err: err})
 			}
 			rec.Version = it.Version
-			known = rec
+			cached = rec
 			b.nodes[it.Key] = rec
 		}
-		if !known.Retired && known.Control != "" {
-			s.Nodes = append(s.Nodes, known)
+		if !cached.Retired && cached.Control != "" {
+			s.Nodes = append(s.Nodes, cached)
 		}
 	}
-	return faults
+	return errs
 }
 
-func (b *Builder) addGroups(s *Snapshot, w groups.Witnesses, now time.Time, window time.Duration) {
+// addGroupUpstreams adds the head of each group that is eligible for work.
+func (b *Builder) addGroupUpstreams(s *Snapshot, results groups.Witnesses, now time.Time, window time.Duration) {
 	for _, p := range s.Plans {
 		for _, g := range p.Groups {
-			verdict := groups.Eligible(p, g, w, s.Leaving, now, window)
+			verdict := groups.Eligible(p, g, results, s.Leaving, now, window)
 			if verdict.Reason != groups.Serving {
 				continue
 			}
-			leader := p.Members(g)[0]
-			seen, _ := w.Get(leader)
-			s.add(g.Service, Upstream{
+			head := p.Members(g)[0]
+			probe, _ := results.Get(head)
+			s.addUpstream(g.Service, Upstream{
 				ID:         g.ID,
-				Address:    s.Members[leader].Address,
+				Address:    s.Members[head].Address,
 				Service:    g.Service,
 				Generation: g.Generation,
-				Slots:      seen.Slots,
-				InFlight:   seen.InFlight,
-				Queued:     seen.Queued,
+				Slots:      probe.Slots,
+				InFlight:   probe.InFlight,
+				Queued:     probe.Queued,
 				Until:      verdict.Until,
 			})
 		}
 	}
 }
 
-func (b *Builder) addPlain(s *Snapshot, w groups.Witnesses, now time.Time, window time.Duration) {
+// addPlainUpstreams adds the eligible VMs of plain services.
+func (b *Builder) addPlainUpstreams(s *Snapshot, results groups.Witnesses, now time.Time, window time.Duration) {
 	byPool := make(map[string][]platform.Member)
 	for _, m := range s.Members {
 		byPool[m.Pool] = append(byPool[m.Pool], m)
@@ -342,28 +350,29 @@
 			continue
 		}
 		for _, m := range byPool[service.Pool] {
-			seen, ok := w.Get(m.VM)
-			if !ok || !plainUsable(s, seen, now, window) {
+			probe, ok := results.Get(m.VM)
+			if !ok || !isPlainUpstreamEligible(s, probe, now, window) {
 				continue
 			}
-			s.add(name, Upstream{
+			s.addUpstream(name, Upstream{
 				ID:       m.VM,
 				Address:  m.Address,
 				Service:  name,
-				Slots:    seen.Slots,
-				InFlight: seen.InFlight,
-				Queued:   seen.Queued,
-				Until:    seen.SentAt.Add(window),
+				Slots:    probe.Slots,
+				InFlight: probe.InFlight,
+				Queued:   probe.Queued,
+				Until:    probe.SentAt.Add(window),
 			})
 		}
 	}
 }
 
-func plainUsable(s *Snapshot, seen presence.Witness, now time.Time, window time.Duration) bool {
-	return seen.Fresh(now, window) && seen.Ready && !seen.Leaving && !s.Leaving[seen.VM]
+func isPlainUpstreamEligible(s *Snapshot, probe presence.Witness, now time.Time, window time.Duration) bool {
+	return probe.Fresh(now, window) && probe.Ready && !probe.Leaving && !s.Leaving[probe.VM]
 }
 
-func (s *Snapshot) add(name string, u Upstream) {
+// addUpstream adds an upstream to a known service, with the service's limit of slots.
+func (s *Snapshot) addUpstream(name string, u Upstream) {
 	service, ok := s.Services[name]
 	if !ok || u.Address == "" {
 		return
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -54,7 +54,7 @@
 mutant "an older version is adopted" internal/item/item.go \
   's/if ok && old\.item\.Version >= it\.Version \{/if false {/' ./internal/item TestNeverReverts
 mutant "a deleted row stays in force" internal/view/view.go \
-  's/known\.row != nil && !known\.row\.Deleted/known.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
+  's/cached\.row != nil && !cached\.row\.Deleted/cached.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
 mutant "an edit on an old version is accepted" internal/control/apply.go \
   's/if e\.message\.GetForce\(\) \|\| base == version/if true || base == version/' ./test/integration TestLostRaceShowsBothValues
 mutant "a lost answer of a write counts as a failure" internal/control/apply.go \
@@ -82,7 +82,7 @@
 mutant "a caller's request ID names the attempt" internal/entry/dispatch.go \
   's/attempt := newRequestID\(\)/attempt := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
 mutant "a leaving VM gets work" internal/view/view.go \
-  's/ && !seen\.Leaving && !s\.Leaving\[seen\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
+  's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not held while the platform is down" internal/control/drain.go \
   's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
 mutant "a stop does not wait for answers in flight" internal/entry/server.go \
