--- a/internal/placement/copies.go
+++ b/internal/placement/copies.go
@@ -6,111 +6,117 @@
 	"github.com/marbleroad/marbleroad/internal/catalog"
 )
 
-// stage begins copies of models within the room: first on the way to groups of
-// models that are short, then on other hosts ahead of need.
-func (d *decider) stage(room int) {
-	for urgent := max(room, d.in.UrgentRoom); urgent > 0; urgent-- {
-		s, ok := d.shortestWay()
+// stage starts copies of models within the budget: first those that groups of
+// underserved models need, for which the larger of the budget and UrgentRoom
+// applies, then prefetches onto other hosts.
+func (d *decider) stage(budget int) {
+	for urgentBudget := max(budget, d.in.UrgentRoom); urgentBudget > 0; urgentBudget-- {
+		s, ok := d.nextUrgentStaging()
 		if !ok {
 			break
 		}
-		d.copy(s)
-		room--
+		d.addStaging(s)
+		budget--
 	}
-	for _, s := range d.ahead() {
-		if room <= 0 {
+	for _, s := range d.prefetch() {
+		if budget <= 0 {
 			return
 		}
-		d.copy(s)
-		room--
+		d.addStaging(s)
+		budget--
 	}
 }
 
-func (d *decider) copy(s Staging) {
-	d.copying[s.VM] = s.Model
+// addStaging adds a copy to the decision.
+func (d *decider) addStaging(s Staging) {
+	d.newStagings[s.VM] = s.Model
 	d.out.Stagings = append(d.out.Stagings, s)
 }
 
-// staging is the model that the VM's host is copying, also by this decision.
-func (d *decider) staging(v VM) string {
-	if model := d.copying[v.ID]; model != "" {
+// stagingModel returns the model that the VM's host is copying or starts to copy
+// by this decision; empty if none.
+func (d *decider) stagingModel(v VM) string {
+	if model := d.newStagings[v.ID]; model != "" {
 		return model
 	}
 	return v.Staging
 }
 
-// way is what a group of a model in one fabric domain still needs.
-type way struct {
-	// next is the VM that would get the next copy; empty when none can.
+// shortfall describes the copies that a group of a model in one fabric domain
+// still needs.
+type shortfall struct {
+	// next is the VM that would get the next copy; empty if there is none.
 	next string
-	// missing is how many copies have yet to begin.
+	// missing is the number of copies that still have to start.
 	missing int
-	// possible reports whether there are VMs enough.
+	// possible is true if there are enough VMs for the missing copies.
 	possible bool
-	// making reports whether copies for it are under way.
-	making bool
+	// copying is true if copies of the model are in progress there.
+	copying bool
 }
 
-// costServing is added for a VM that serves: a free one gets its copy first.
+// costServing is the additional cost of a serving VM: free VMs get a copy first.
 const costServing = 5
 
-// shortestWay picks the next copy for the model with the fewest groups for its work,
-// where the fewest are missing. Groups on their way count as there.
-func (d *decider) shortestWay() (Staging, bool) {
+// nextUrgentStaging returns the next copy for the first model in order of supply
+// that isn't well supplied, in the fabric domain where the fewest copies are
+// missing. Groups whose copies are all in progress count as formed.
+func (d *decider) nextUrgentStaging() (Staging, bool) {
 	if len(d.in.Demand) == 0 {
 		return Staging{}, false
 	}
-	for _, m := range d.byNeed() {
-		best := way{}
-		coming := 0
+	for _, m := range d.bySupply() {
+		best := shortfall{}
+		underway := 0
 		for _, fabric := range d.allFabrics() {
-			w := d.wayTo(m, fabric)
+			s := d.shortfallOf(m, fabric)
 			switch {
-			case w.missing <= 0 && w.making:
-				coming++
-			case w.missing > 0 && w.possible && w.next != "" && (best.next == "" || w.missing < best.missing):
-				best = w
+			case s.missing <= 0 && s.copying:
+				underway++
+			case s.missing > 0 && s.possible && s.next != "" && (best.next == "" || s.missing < best.missing):
+				best = s
 			}
 		}
-		if best.next != "" && float64(d.groups[m.Name]+coming)/d.need(m) < enough {
+		if best.next != "" && float64(d.groups[m.Name]+underway)/d.demand(m) < wellSupplied {
 			return Staging{VM: best.next, Model: m.Name}, true
 		}
 	}
 	return Staging{}, false
 }
 
-// wayTo looks at the VMs of a fabric domain that could become a group of the model:
-// free ones, and those of groups that may be given up for it.
-func (d *decider) wayTo(m catalog.Model, fabric string) way {
-	w := way{missing: m.Size}
-	able := 0
-	least := 0.0
+// shortfallOf returns what a group of the model in a fabric domain still needs. It
+// considers the free VMs and those of groups that may be dissolved for the model.
+func (d *decider) shortfallOf(m catalog.Model, fabric string) shortfall {
+	s := shortfall{missing: m.Size}
+	candidates := 0
+	minCost := 0.0
 	consider := func(v VM, extra float64) {
 		cost := joinCost(v, m.Name)
 		switch {
-		case d.staging(v) == m.Name:
-			w.missing--
-			w.making = true
+		case d.stagingModel(v) == m.Name:
+			s.missing--
+			s.copying = true
 		case cost < costLoad:
-			w.missing--
-		case d.staging(v) != "" || (cost > costLoad && !d.spares(v, m)):
+			s.missing--
+		case d.stagingModel(v) != "" || (cost > costLoad && !d.canLoseCopy(v, m)):
 		default:
-			able++
-			if w.next == "" || cost+extra < least {
-				w.next, least = v.ID, cost+extra
+			candidates++
+			if s.next == "" || cost+extra < minCost {
+				s.next, minCost = v.ID, cost+extra
 			}
 		}
 	}
 	for _, v := range d.freeIn(fabric) {
 		consider(v, 0)
 	}
-	for _, v := range d.givable(m, fabric) {
+	for _, v := range d.dissolvableVMs(m, fabric) {
 		consider(v, costServing)
 	}
-	w.possible = able >= w.missing
-	return w
+	s.possible = candidates >= s.missing
+	return s
 }
 
+// freeIn returns the free VMs of a fabric domain by ID.
 func (d *decider) freeIn(fabric string) []VM {
 	var out []VM
 	for _, v := range d.free {
@@ -122,7 +128,7 @@
 	return out
 }
 
-// allFabrics lists the fabric domains with free VMs or open groups.
+// allFabrics returns the fabric domains with free VMs or open groups.
 func (d *decider) allFabrics() []string {
 	out := append(d.fabrics(), d.openFabrics()...)
 	sort.Strings(out)
@@ -135,13 +141,13 @@
 	return unique
 }
 
-// givable lists the VMs of groups of other models in the fabric domain that may be
-// given up for a group of the model.
-func (d *decider) givable(m catalog.Model, fabric string) []VM {
+// dissolvableVMs returns the VMs of groups of other models in the fabric domain that
+// may be dissolved for a group of the model.
+func (d *decider) dissolvableVMs(m catalog.Model, fabric string) []VM {
 	var out []VM
 	lost := make(map[string]int)
 	for _, g := range d.in.Open {
-		if g.Fabric != fabric || g.Model == m.Name || !d.gains(m, g.Model, lost[g.Model]+1) {
+		if g.Fabric != fabric || g.Model == m.Name || !d.worthDissolving(m, g.Model, lost[g.Model]+1) {
 			continue
 		}
 		lost[g.Model]++
@@ -150,52 +156,53 @@
 	return out
 }
 
-// spares reports whether the models of which the VM would lose the copy are served
-// so much better than m that they can spare it.
-func (d *decider) spares(v VM, m catalog.Model) bool {
+// canLoseCopy reports whether all models of which the VM has a copy, other than m,
+// are supplied better than m by more than reserveMargin, so that the copy may be
+// replaced by one of m.
+func (d *decider) canLoseCopy(v VM, m catalog.Model) bool {
 	for _, o := range d.in.Models {
-		if o.Name != m.Name && holds(v, o.Name) && d.supply(o) <= keepFreeMargin*d.supply(m) {
+		if o.Name != m.Name && hasCopy(v, o.Name) && d.supply(o) <= reserveMargin*d.supply(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// ahead lists copies ahead of need: for free hosts that would lose nothing by them,
-// the model for which the fewest free VMs of the fabric domain are ready, so that a
-// lost member of either's groups can be replaced, and then for some serving VMs the model
-// that they don't have.
-func (d *decider) ahead() []Staging {
+// prefetch returns copies that are not needed yet. Free hosts that lose no copy by
+// it get the model for which the fewest free VMs of the fabric domain have a copy,
+// so that lost members of any model's groups can be replaced. Then some serving VMs
+// get a model of which they have no copy.
+func (d *decider) prefetch() []Staging {
 	var out []Staging
 	taken := make(map[string]bool)
 	add := func(v VM, model string) bool {
-		if taken[v.ID] || d.staging(v) != "" || joinCost(v, model) != costLoad {
+		if taken[v.ID] || d.stagingModel(v) != "" || joinCost(v, model) != costLoad {
 			return false
 		}
 		taken[v.ID] = true
 		out = append(out, Staging{VM: v.ID, Model: model})
 		return true
 	}
-	models := d.byNeed()
+	models := d.bySupply()
 	for _, fabric := range d.fabrics() {
 		free := d.freeIn(fabric)
 		spares := make(map[string]int)
 		for _, v := range free {
 			for _, m := range models {
-				if d.staging(v) == m.Name || joinCost(v, m.Name) < costLoad {
+				if d.stagingModel(v) == m.Name || joinCost(v, m.Name) < costLoad {
 					spares[m.Name]++
 				}
 			}
 		}
 		for _, v := range free {
-			if m := scarcest(models, spares); joinCost(v, m.Name) == costLoad && d.staging(v) == "" {
+			if m := fewestSpares(models, spares); joinCost(v, m.Name) == costLoad && d.stagingModel(v) == "" {
 				spares[m.Name]++
 				add(v, m.Name)
 			}
 		}
 	}
 	for _, m := range models {
-		left := d.aheadRoom(m)
+		left := d.prefetchBudget(m)
 		for _, g := range d.in.Open {
 			if g.Model == m.Name {
 				continue
@@ -210,23 +217,23 @@
 	return out
 }
 
-// aheadGroups is how many groups' worth of VMs that serve other models hold a copy of a model ahead of
-// need: a change over takes them at once, and more follow while they join.
-const aheadGroups = 2
+// prefetchGroups bounds the prefetched copies of a model on VMs that serve other models, in groups of the
+// model. These VMs can switch to the model at once, and further copies follow while they join.
+const prefetchGroups = 2
 
-// aheadMost is the same in VMs before the first callers, when loads are fast and cost nothing: more are not
-// done in time, and go on when they do cost.
-const aheadMost = 128
+// maxEarlyPrefetch bounds the same copies, in VMs, before the first requests arrive. Loads are fast and cost
+// nothing then, but more copies would not complete in time and would continue when they do cost.
+const maxEarlyPrefetch = 128
 
-// aheadRoom is how many more VMs that serve other models may get a copy of the model ahead of need.
-func (d *decider) aheadRoom(m catalog.Model) int {
-	left := aheadGroups * m.Size
+// prefetchBudget returns how many more VMs that serve other models may get a prefetched copy of the model.
+func (d *decider) prefetchBudget(m catalog.Model) int {
+	left := prefetchGroups * m.Size
 	if d.in.JoinUnstaged {
-		left = max(left, aheadMost)
+		left = max(left, maxEarlyPrefetch)
 	}
 	for _, g := range d.in.Open {
 		for _, v := range g.Members {
-			if g.Model != m.Name && (holds(v, m.Name) || d.staging(v) == m.Name) {
+			if g.Model != m.Name && (hasCopy(v, m.Name) || d.stagingModel(v) == m.Name) {
 				left--
 			}
 		}
@@ -234,9 +241,9 @@
 	return left
 }
 
-// scarcest is the model with the fewest spares; of equals the one with the largest
-// groups, which are the hardest to complete.
-func scarcest(models []catalog.Model, spares map[string]int) catalog.Model {
+// fewestSpares returns the model with the fewest spares; among equals the one with
+// the largest groups, which are the hardest to complete.
+func fewestSpares(models []catalog.Model, spares map[string]int) catalog.Model {
 	best := models[0]
 	for _, m := range models[1:] {
 		if spares[m.Name] < spares[best.Name] || (spares[m.Name] == spares[best.Name] && m.Size > best.Size) {
--- a/internal/placement/decide_bench_test.go
+++ b/internal/placement/decide_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/marbleroad/marbleroad/internal/catalog"
 )
 
-// BenchmarkFirstPlan is what a director of 1,000 free VMs in 37 fabric domains spends on its first plan.
+// BenchmarkFirstPlan measures the first plan of a director of 1,000 free VMs in 37 fabric domains.
 func BenchmarkFirstPlan(b *testing.B) {
 	in := Input{Models: []catalog.Model{{Name: "big", Size: 12, Share: 0.5, Pace: 1}, {Name: "small", Size: 6, Share: 0.5, Pace: 0.6}},
 		JoinUnstaged: true, LoadRoom: 1 << 10, UrgentRoom: 1 << 10}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement decides which free VMs form which groups and which models
-// are copied onto their hosts ahead of need. It is pure: the same input gives
-// the same decision.
+// Package placement decides which free VMs form which groups, which groups are
+// dissolved for another model, and which models are copied onto which hosts. It
+// is pure: the same input gives the same decision.
 package placement
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/marbleroad/marbleroad/internal/catalog"
 )
 
-// VM is a VM that is in no group that may still serve.
+// VM is a free VM, which is in no group that may still serve, or a member of an
+// open group.
 type VM struct {
 	ID     string
 	Fabric string
@@ -17,8 +18,9 @@
 	Last string
 	// Staged are the models of which the host holds a copy.
 	Staged []string
-	// Staging is the model that is being copied. Meanwhile the VM can only join the
-	// model of its last group, which needs no copy.
+	// Staging is the model that is being copied to the host; empty if none.
+	// Meanwhile the VM can only join a group of the model of its last group, which
+	// needs no copy.
 	Staging string
 }
 
@@ -30,27 +32,29 @@
 	Members []VM
 }
 
-// Input is what a decision follows from.
+// Input holds everything that Decide depends on.
 type Input struct {
+	// Free holds the VMs that are in no group that may still serve.
 	Free []VM
-	// Open are the groups that serve; their VMs may get copies of other models,
-	// and a group may be given up for a model that is served worse.
+	// Open are the groups that serve. Their VMs may get copies of other models,
+	// and a group may be dissolved for a model that is supplied worse.
 	Open   []Group
 	Models []catalog.Model
-	// Groups counts the open and forming groups of each model, everywhere.
+	// Groups counts the open and forming groups of each model in all failure
+	// domains.
 	Groups map[string]int
-	// Demand is the work that is asked for of each model, in groups that it
-	// would keep busy; empty while unknown.
+	// Demand is the requested work for each model, in the number of groups that
+	// it would keep busy; empty while unknown.
 	Demand map[string]float64
-	// LoadRoom is how many loads from the weight store may begin now, UrgentRoom
-	// how many with those that others leave unused.
+	// LoadRoom is how many loads from the weight store may start now. UrgentRoom
+	// also includes the loads that other failure domains leave unused.
 	LoadRoom   int
 	UrgentRoom int
-	// KeptFor names, by fabric domain, the model that groups there were given up
-	// for; free VMs are kept for it.
+	// KeptFor maps a fabric domain to the model for which groups there were
+	// dissolved; free VMs are reserved for it.
 	KeptFor map[string]string
 	// JoinUnstaged allows groups of VMs that still have to load. It is meant
-	// for the time before traffic, when loads are fast.
+	// for the time before the first requests, when loads are fast.
 	JoinUnstaged bool
 }
 
@@ -73,15 +77,15 @@
 type Decision struct {
 	Formations []Formation
 	Stagings   []Staging
-	// Dissolutions are open groups whose VMs are worth more to another model,
-	// DissolvedFor; all are in the fabric domain DissolvedIn.
+	// Dissolutions are the open groups to dissolve so that their VMs form a group
+	// of the model DissolvedFor; all are in the fabric domain DissolvedIn.
 	Dissolutions []string
 	DissolvedFor string
 	DissolvedIn  string
 }
 
-// After counts the groups of each model once the decision is carried out. A group for
-// which others are given up counts as there.
+// After returns the number of groups of each model once the decision is carried out.
+// A group for which others are dissolved counts as formed.
 func (d Decision) After(in Input) map[string]int {
 	out := make(map[string]int, len(in.Groups))
 	for model, n := range in.Groups {
@@ -103,47 +107,50 @@
 	return out
 }
 
-// Decide forms the groups that can be had without loads first, the model that
-// is served worst beside its demand before the others. It gives up a group only
-// when that raises the worst-served model. Loads go where they soonest lead to a group
-// of a model that is short, then to other free VMs, and then to serving VMs, so that
-// they can change over to the other model at once.
+// Decide first forms the groups that need no loads, for the model with the lowest
+// supply relative to its demand before the others. It dissolves groups only if that
+// raises the supply of the worst-supplied model. Loads go first where they soonest
+// complete a group of an underserved model, then to other free VMs, and then to
+// serving VMs, so that these can switch to the other model at once.
 func Decide(in Input) Decision {
-	d := &decider{in: in, free: make(map[string]VM, len(in.Free)), groups: make(map[string]int), copying: make(map[string]string)}
+	d := &decider{in: in, free: make(map[string]VM, len(in.Free)), groups: make(map[string]int), newStagings: make(map[string]string)}
 	for _, v := range in.Free {
 		d.free[v.ID] = v
 	}
 	for m, n := range in.Groups {
 		d.groups[m] = n
 	}
-	for d.formOne(0) {
+	for d.formNext(0) {
 	}
-	room := in.LoadRoom
-	for in.JoinUnstaged && room > 0 && d.formOne(room) {
-		room -= d.out.Formations[len(d.out.Formations)-1].Loads
+	budget := in.LoadRoom
+	for in.JoinUnstaged && budget > 0 && d.formNext(budget) {
+		budget -= d.out.Formations[len(d.out.Formations)-1].Loads
 	}
 	if len(d.out.Formations) == 0 {
-		d.dissolve()
+		d.chooseDissolutions()
 	}
-	d.stage(room)
+	d.stage(budget)
 	return d.out
 }
 
+// decider is the state of one call of Decide.
 type decider struct {
-	in     Input
-	free   map[string]VM
+	in   Input
+	free map[string]VM
+	// groups counts the groups of each model, those formed by this decision
+	// included.
 	groups map[string]int
-	// copying holds the copies that this decision begins, by VM.
-	copying map[string]string
-	out     Decision
+	// newStagings maps the ID of a VM to the model whose copy this decision starts.
+	newStagings map[string]string
+	out         Decision
 }
 
-// formOne forms the most needed group that can be had; loads 0 allows only
-// VMs that need none.
-func (d *decider) formOne(loads int) bool {
-	for _, m := range d.byNeed() {
-		f, ok := d.best(m, loads > 0)
-		if !ok || d.keepFree(m) {
+// formNext forms one group of the worst-supplied model for which that is possible.
+// If loads is 0, only VMs that need no load are used.
+func (d *decider) formNext(loads int) bool {
+	for _, m := range d.bySupply() {
+		f, ok := d.cheapestFormation(m, loads > 0)
+		if !ok || d.reserveFree(m) {
 			continue
 		}
 		for _, id := range f.Members {
@@ -156,8 +163,9 @@
 	return false
 }
 
-// byNeed lists the models, that with the fewest groups for its demand first.
-func (d *decider) byNeed() []catalog.Model {
+// bySupply returns the models in order of supply, lowest first; among equals that
+// with the highest demand first.
+func (d *decider) bySupply() []catalog.Model {
 	models := append([]catalog.Model(nil), d.in.Models...)
 	sort.SliceStable(models, func(i, j int) bool {
 		a, b := models[i], models[j]
@@ -165,52 +173,55 @@
 		if sa != sb {
 			return sa < sb
 		}
-		return d.need(a) > d.need(b)
+		return d.demand(a) > d.demand(b)
 	})
 	return models
 }
 
-// keepFreeMargin is by how much better than the worst-served model another one
-// is served when free VMs are kept for the worst-served one instead: a VM that
-// joins another model's group may lose its copy.
-const keepFreeMargin = 1.3
+// reserveMargin is the ratio of a model's supply to that of the worst-supplied
+// model above which free VMs are reserved for the latter: a VM that joins a group
+// of another model may lose its copy.
+const reserveMargin = 1.3
 
-// keepFree reports whether free VMs are better kept than put into one more group
-// of the model.
-func (d *decider) keepFree(m catalog.Model) bool {
-	if d.in.JoinUnstaged || (len(d.in.Demand) > 0 && d.supply(m) < enough) {
+// reserveFree reports whether free VMs are reserved instead of forming one more
+// group of the model.
+func (d *decider) reserveFree(m catalog.Model) bool {
+	if d.in.JoinUnstaged || (len(d.in.Demand) > 0 && d.supply(m) < wellSupplied) {
 		return false
 	}
-	return d.supply(m) > keepFreeMargin*d.supply(d.byNeed()[0])
+	return d.supply(m) > reserveMargin*d.supply(d.bySupply()[0])
 }
 
-// enough is how many groups for each group's worth of work serve a model well, so
-// that free VMs may wait for another one.
-const enough = 1.5
+// wellSupplied is the supply from which a model is served well, so that free VMs
+// may be reserved for another one.
+const wellSupplied = 1.5
 
-// leastNeed keeps a model without any demand from needing nothing at all.
-const leastNeed = 1e-3
+// minDemand is the lower bound of a model's demand, so that the supply is defined
+// for a model without demand.
+const minDemand = 1e-3
 
-// need is the work that the model's requests ask for, in groups. While it is
-// unknown, it follows from the model's expected share of the VMs, in relative units.
-func (d *decider) need(m catalog.Model) float64 {
+// demand returns the requested work for the model, in groups. While it is unknown,
+// it is derived from the model's expected share of the VMs, in relative units.
+func (d *decider) demand(m catalog.Model) float64 {
 	if len(d.in.Demand) > 0 {
-		return max(d.in.Demand[m.Name], leastNeed)
+		return max(d.in.Demand[m.Name], minDemand)
 	}
-	return max(m.Share/float64(m.Size), leastNeed)
+	return max(m.Share/float64(m.Size), minDemand)
 }
 
+// supply returns the number of groups of the model per group's worth of demand.
 func (d *decider) supply(m catalog.Model) float64 {
-	return float64(d.groups[m.Name]) / d.need(m)
+	return float64(d.groups[m.Name]) / d.demand(m)
 }
 
-// best finds the cheapest group of the model within one fabric domain.
-func (d *decider) best(m catalog.Model, withLoads bool) (Formation, bool) {
+// cheapestFormation returns the cheapest group of the model over all fabric domains;
+// a group is always within one.
+func (d *decider) cheapestFormation(m catalog.Model, withLoads bool) (Formation, bool) {
 	var best Formation
 	bestCost := 0.0
 	found := false
 	for _, fabric := range d.fabrics() {
-		members, loads, cost := d.cheapest(m, fabric, withLoads)
+		members, loads, cost := d.cheapestMembers(m, fabric, withLoads)
 		if members == nil || (found && cost >= bestCost) {
 			continue
 		}
@@ -219,6 +230,7 @@
 	return best, found
 }
 
+// fabrics returns the fabric domains with free VMs.
 func (d *decider) fabrics() []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -232,22 +244,24 @@
 	return out
 }
 
-// Relative costs of a VM's ways to get a model ready. Only their order counts:
-// a VM that had the model last is taken before one whose host holds a copy, and
-// one that would lose nothing before one that would lose another model: a copy of
-// the model of its last group is no loss, since joining that one needs none.
+// Relative costs for a VM to join a group of a model. Only their order matters: a
+// VM whose last group ran the model is taken before one whose host has a copy, and
+// one that loses no copy before one that loses another model's copy. A copy of the
+// model of the VM's last group doesn't count as lost, since joining a group of that
+// model again needs no copy.
 const (
-	costLast   = 0
-	costStaged = 1
-	costLoad   = 100
-	costLose   = 10
-	// costBusy is that of a VM which waits for a copy.
-	costBusy = 1000
+	costLastModel = 0
+	costStaged    = 1
+	costLoad      = 100
+	costLoseCopy  = 10
+	// costCopying is the cost of a VM whose host is copying a model.
+	costCopying = 1000
 )
 
-// cheapest picks the model's size of VMs of a fabric domain; nil when there are
-// too few.
-func (d *decider) cheapest(m catalog.Model, fabric string, withLoads bool) (members []string, loads int, cost float64) {
+// cheapestMembers returns as many of the cheapest free VMs of a fabric domain as a
+// group of the model needs, with the number of loads and the total cost; members is
+// nil if there are too few VMs.
+func (d *decider) cheapestMembers(m catalog.Model, fabric string, withLoads bool) (members []string, loads int, cost float64) {
 	if kept := d.in.KeptFor[fabric]; kept != "" && kept != m.Name {
 		return nil, 0, 0
 	}
@@ -261,7 +275,7 @@
 			continue
 		}
 		c := joinCost(v, m.Name)
-		if c >= costBusy || (c >= costLoad && !withLoads) {
+		if c >= costCopying || (c >= costLoad && !withLoads) {
 			continue
 		}
 		all = append(all, candidate{v.ID, c})
@@ -285,10 +299,12 @@
 	return members, loads, cost + d.splitCost(m, fabric)
 }
 
-// costSplit is added where a group of a smaller model takes the place of a
-// whole group of the largest one.
+// costSplit is the additional cost if a group of a smaller model reduces the number
+// of groups of the largest model that the free VMs of the fabric domain can form.
 const costSplit = 20
 
+// splitCost returns costSplit if it applies to a group of the model in the fabric
+// domain.
 func (d *decider) splitCost(m catalog.Model, fabric string) float64 {
 	largest := 1
 	for _, other := range d.in.Models {
@@ -306,24 +322,26 @@
 	return 0
 }
 
-// dissolveMargin is by how much the worst-served model must gain for an open
-// group to be given up.
+// dissolveMargin is the factor by which the supply of the worst-supplied model must
+// rise for an open group to be dissolved.
 const dissolveMargin = 1.3
 
-// dissolve gives up open groups of one fabric domain if their VMs, with the free
-// ones there, make a group of the worst-served model, and if that leaves no model
-// as badly served as it is now.
-func (d *decider) dissolve() {
-	m := d.byNeed()[0]
+// chooseDissolutions dissolves open groups of one fabric domain if their VMs and the
+// free ones there form a group of the worst-supplied model, and if no model is
+// supplied as badly afterwards. It takes the fabric domain with the fewest groups to
+// dissolve.
+func (d *decider) chooseDissolutions() {
+	m := d.bySupply()[0]
 	for _, fabric := range d.openFabrics() {
-		given := d.givenUp(m, fabric)
-		if len(given) == 0 || (d.out.Dissolutions != nil && len(given) >= len(d.out.Dissolutions)) {
+		dissolved := d.dissolvableGroups(m, fabric)
+		if len(dissolved) == 0 || (d.out.Dissolutions != nil && len(dissolved) >= len(d.out.Dissolutions)) {
 			continue
 		}
-		d.out.Dissolutions, d.out.DissolvedFor, d.out.DissolvedIn = given, m.Name, fabric
+		d.out.Dissolutions, d.out.DissolvedFor, d.out.DissolvedIn = dissolved, m.Name, fabric
 	}
 }
 
+// openFabrics returns the fabric domains with open groups.
 func (d *decider) openFabrics() []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -336,50 +354,51 @@
 	return out
 }
 
-// givenUp lists the fewest groups of other models in the fabric domain whose
-// VMs complete a group of m; nil when there are none that may be given up.
-func (d *decider) givenUp(m catalog.Model, fabric string) []string {
-	have := 0
+// dissolvableGroups returns groups of other models in the fabric domain whose VMs
+// complete a group of m; nil if those that may be dissolved don't suffice.
+func (d *decider) dissolvableGroups(m catalog.Model, fabric string) []string {
+	available := 0
 	for _, v := range d.free {
 		if v.Fabric == fabric && joinCost(v, m.Name) < costLoad {
-			have++
+			available++
 		}
 	}
-	var given []string
+	var dissolved []string
 	lost := make(map[string]int)
 	for _, g := range d.in.Open {
 		if g.Fabric != fabric || g.Model == m.Name {
 			continue
 		}
 		usable := countUsable(g, m.Name)
-		if usable == 0 || !d.gains(m, g.Model, lost[g.Model]+1) {
+		if usable == 0 || !d.worthDissolving(m, g.Model, lost[g.Model]+1) {
 			continue
 		}
-		given = append(given, g.Name)
+		dissolved = append(dissolved, g.Name)
 		lost[g.Model]++
-		have += usable
-		if have >= m.Size {
-			return given
+		available += usable
+		if available >= m.Size {
+			return dissolved
 		}
 	}
 	return nil
 }
 
-// gains reports whether one group more of m and so many less of the other model
-// leaves the worse served of the two better off.
-func (d *decider) gains(m catalog.Model, other string, lost int) bool {
+// worthDissolving reports whether one more group of m and lost fewer groups of the
+// other model raise the lower supply of the two clearly above that of m.
+func (d *decider) worthDissolving(m catalog.Model, other string, lost int) bool {
 	for _, o := range d.in.Models {
 		if o.Name != other {
 			continue
 		}
-		after := float64(d.groups[other]-lost) / d.need(o)
-		gained := float64(d.groups[m.Name]+1) / d.need(m)
+		after := float64(d.groups[other]-lost) / d.demand(o)
+		gained := float64(d.groups[m.Name]+1) / d.demand(m)
 		return min(after, gained) > d.supply(m)*dissolveMargin
 	}
 	return false
 }
 
-// countUsable counts the VMs of the group that can join the model without a load.
+// countUsable returns how many VMs of the group can join a group of the model
+// without a load.
 func countUsable(g Group, model string) int {
 	n := 0
 	for _, v := range g.Members {
@@ -390,25 +409,26 @@
 	return n
 }
 
+// joinCost returns the relative cost for the VM to join a group of the model.
 func joinCost(v VM, model string) float64 {
 	switch {
 	case v.Last == model:
-		return costLast
+		return costLastModel
 	case v.Staging != "":
-		return costBusy
-	case holds(v, model):
+		return costCopying
+	case hasCopy(v, model):
 		return costStaged
 	}
 	for _, s := range v.Staged {
 		if s != v.Last {
-			return costLoad + costLose
+			return costLoad + costLoseCopy
 		}
 	}
 	return costLoad
 }
 
-// holds reports whether the VM's host has a copy of the model.
-func holds(v VM, model string) bool {
+// hasCopy reports whether the VM's host has a copy of the model.
+func hasCopy(v VM, model string) bool {
 	for _, s := range v.Staged {
 		if s == model {
 			return true
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,16 +16,19 @@
 	{Name: "small", Size: 2, Share: 0.33, Pace: 0.6, LoadTime: 12 * time.Second},
 }
 
-func fabric(name string, n int, of VM) []VM {
+// fabric returns n copies of a VM with IDs of their own in a fabric domain.
+func fabric(name string, n int, template VM) []VM {
 	var out []VM
 	for i := range n {
-		v := of
+		v := template
 		v.ID, v.Fabric = fmt.Sprintf("%s-%d", name, i), name
 		out = append(out, v)
 	}
 	return out
 }
 
+// TestFirstPlanServesModelsAlike checks that the first plan uses all VMs and forms
+// groups of both models according to their shares.
 func TestFirstPlanServesModelsAlike(t *testing.T) {
 	var free []VM
 	for f := range 6 {
@@ -43,15 +46,15 @@
 	}
 }
 
-func TestLoadsKeepToTheirRoom(t *testing.T) {
+func TestLoadsKeepToTheirBudget(t *testing.T) {
 	d := Decide(Input{Free: fabric("a", 8, VM{}), Models: models, LoadRoom: 2})
 	if len(d.Formations) != 0 || len(d.Stagings) != 2 {
 		t.Errorf("%+v", d)
 	}
 }
 
-// TestFreeVMsAreKept: two VMs that could join the small model wait for the big
-// one, which is served far worse.
+// TestFreeVMsAreKept checks that two VMs that could form a group of the small model
+// are reserved for the big one, which is supplied far worse.
 func TestFreeVMsAreKept(t *testing.T) {
 	in := Input{Free: fabric("a", 2, VM{Last: "big", Staged: []string{"small"}}), Models: models,
 		Groups: map[string]int{"big": 2, "small": 8}, Demand: map[string]float64{"big": 4, "small": 4}}
@@ -60,28 +63,29 @@
 	}
 	in.Groups["small"] = 5
 	if d := Decide(in); len(d.Formations) != 1 {
-		t.Errorf("nothing formed though the small model has too few groups as well")
+		t.Errorf("nothing formed although the small model has too few groups as well")
 	}
 }
 
-// TestGroupsAreGivenUpTogether: two pairs make one group of four.
-func TestGroupsAreGivenUpTogether(t *testing.T) {
+// TestGroupsAreDissolvedTogether checks that two groups of two VMs are dissolved for
+// one group of four.
+func TestGroupsAreDissolvedTogether(t *testing.T) {
 	pair := func(name string) Group {
 		return Group{Name: name, Model: "small", Fabric: "a", Members: fabric(name, 2, VM{Last: "small", Staged: []string{"big"}})}
 	}
 	in := Input{Open: []Group{pair("p"), pair("q"), pair("r")}, Models: models,
 		Groups: map[string]int{"big": 1, "small": 8}, Demand: map[string]float64{"big": 3, "small": 3}}
 	if d := Decide(in); len(d.Dissolutions) != 2 {
-		t.Errorf("given up: %v", d.Dissolutions)
+		t.Errorf("dissolved: %v", d.Dissolutions)
 	}
 	in.Groups["small"] = 2
 	if d := Decide(in); len(d.Dissolutions) != 0 {
-		t.Errorf("given up though the other is then worse off: %v", d.Dissolutions)
+		t.Errorf("dissolved although the other model is then supplied worse: %v", d.Dissolutions)
 	}
 }
 
-// TestFreedVMsAreKept: what was given up for one model does
-// not go back to the other before all of it is free.
+// TestFreedVMsAreKept checks that the VMs of groups that were dissolved for one model
+// are not used for the other before all of them are free.
 func TestFreedVMsAreKept(t *testing.T) {
 	in := Input{Free: fabric("a", 2, VM{Last: "small", Staged: []string{"big"}}), Models: models, KeptFor: map[string]string{"a": "big"},
 		Groups: map[string]int{"big": 1, "small": 1}, Demand: map[string]float64{"big": 3, "small": 3}}
@@ -94,6 +98,8 @@
 	}
 }
 
+// TestServingVMsGetTheOtherModelsCopy checks that copies of a model are prefetched
+// onto VMs that serve another one, within the load budget.
 func TestServingVMsGetTheOtherModelsCopy(t *testing.T) {
 	in := Input{Open: []Group{{Name: "g", Model: "big", Fabric: "a", Members: fabric("a", 4, VM{Last: "big", Staged: []string{"big"}})}},
 		Models: models, Groups: map[string]int{"big": 1}, LoadRoom: 3}
@@ -103,9 +109,9 @@
 	}
 }
 
-// TestDecisionsAreSound: a VM goes to one place, groups stay in one fabric
-// domain and have their size, and loads stay within their room.
-func TestDecisionsAreSound(t *testing.T) {
+// TestDecisionsAreConsistent checks that a VM is used once, that groups are within one
+// fabric domain and have their model's size, and that loads stay within the budget.
+func TestDecisionsAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"", "big", "small"}
 		var in Input
@@ -113,14 +119,14 @@
 		in.JoinUnstaged = rapid.Bool().Draw(t, "before")
 		in.LoadRoom = rapid.IntRange(0, 6).Draw(t, "room")
 		in.Groups = map[string]int{"big": rapid.IntRange(0, 8).Draw(t, "big"), "small": rapid.IntRange(0, 8).Draw(t, "small")}
-		where := map[string]string{}
+		fabricOf := map[string]string{}
 		for i := range rapid.IntRange(0, 20).Draw(t, "vms") {
 			v := VM{ID: fmt.Sprint(i), Fabric: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "fabric"), Last: rapid.SampledFrom(names).Draw(t, "last")}
 			if s := rapid.SampledFrom(names).Draw(t, "staged"); s != "" {
 				v.Staged = []string{s}
 			}
 			v.Staging = rapid.SampledFrom([]string{"", "", "big"}).Draw(t, "staging")
-			where[v.ID] = v.Fabric
+			fabricOf[v.ID] = v.Fabric
 			in.Free = append(in.Free, v)
 		}
 		d := Decide(in)
@@ -132,33 +138,34 @@
 				t.Fatalf("%s with %d members", f.Model, len(f.Members))
 			}
 			for _, id := range f.Members {
-				if used[id] || where[id] != where[f.Members[0]] {
-					t.Fatalf("VM %s is used twice or far from the others", id)
+				if used[id] || fabricOf[id] != fabricOf[f.Members[0]] {
+					t.Fatalf("VM %s is used twice or in another fabric domain than the others", id)
 				}
 				used[id] = true
 			}
 			if !in.JoinUnstaged && f.Loads > 0 {
-				t.Fatal("a group that has to load while there is traffic")
+				t.Fatal("a group has to load although there are requests")
 			}
 		}
 		if !in.JoinUnstaged && loads > in.LoadRoom {
-			t.Fatalf("%d loads with room for %d", loads, in.LoadRoom)
+			t.Fatalf("%d loads with a budget of %d", loads, in.LoadRoom)
 		}
 		for _, s := range d.Stagings {
 			if used[s.VM] {
-				t.Fatalf("VM %s joins and is staged", s.VM)
+				t.Fatalf("VM %s joins a group and gets a copy", s.VM)
 			}
 		}
 	})
 }
 
-// short is an input in which the big model is short and the small one is not.
+// short returns an input with equal demand for both models; groups counts those of
+// each model.
 func short(groups map[string]int) Input {
 	return Input{Models: models, Groups: groups, Demand: map[string]float64{"big": 4, "small": 4}, LoadRoom: 1}
 }
 
-// TestCopyCostsNothingBesideTheLastModel: a free VM whose copy is of the model of its
-// last group gets the copy that the worst-served model lacks.
+// TestCopyCostsNothingBesideTheLastModel checks that a free VM whose only copy is of
+// the model of its last group gets the copy that the worst-supplied model lacks.
 func TestCopyCostsNothingBesideTheLastModel(t *testing.T) {
 	in := short(map[string]int{"big": 1, "small": 9})
 	in.Free = []VM{{ID: "0", Fabric: "a", Last: "small", Staged: []string{"small"}}}
@@ -168,8 +175,9 @@
 	}
 }
 
-// TestCopiesGoWhereAGroupIsPossible: a copy in a fabric domain with VMs enough for
-// a group goes before one where fewer are missing but VMs are.
+// TestCopiesGoWhereAGroupIsPossible checks that a copy in a fabric domain with enough
+// VMs for a group takes precedence over one where fewer copies but also VMs are
+// missing.
 func TestCopiesGoWhereAGroupIsPossible(t *testing.T) {
 	in := short(map[string]int{"big": 1, "small": 9})
 	for i := range 3 {
@@ -186,9 +194,10 @@
 	}
 }
 
-// TestServingVMsGetWhatAShortModelLacks: after a fabric domain came back with copies
-// of one model only, its pairs get those of the other one by one, also beyond the
-// failure domain's own part of the loads, until a group is on its way.
+// TestServingVMsGetWhatAShortModelLacks checks a fabric domain whose VMs returned with
+// copies of one model only: its groups of two get copies of the other model until
+// those for one group have started, also beyond the failure domain's own part of the
+// loads.
 func TestServingVMsGetWhatAShortModelLacks(t *testing.T) {
 	in := short(map[string]int{"big": 3, "small": 9})
 	in.UrgentRoom = 6
@@ -210,8 +219,8 @@
 	}
 }
 
-// TestOnlyCopyIsKept: a host keeps the only copy of a model that is hardly better
-// served.
+// TestOnlyCopyIsKept checks that a host keeps its only copy if that model is supplied
+// hardly better than the one that needs a copy.
 func TestOnlyCopyIsKept(t *testing.T) {
 	in := short(map[string]int{"big": 4, "small": 5})
 	in.Free = []VM{{ID: "0", Fabric: "a", Staged: []string{"small"}}}
@@ -223,12 +232,12 @@
 	}
 	in.Groups["small"] = 9
 	if d := Decide(in); len(d.Stagings) != 1 {
-		t.Error("a copy that can be spared is kept")
+		t.Error("a copy of a well-supplied model is kept")
 	}
 }
 
-// TestSparesForEachModel: the VMs that are left over beside the first groups get
-// copies of both models, the larger one's first.
+// TestSparesForEachModel checks that free VMs that form no group get copies of both
+// models, of the larger one first.
 func TestSparesForEachModel(t *testing.T) {
 	in := Input{Models: models, LoadRoom: 100}
 	for i := range 3 {
@@ -243,12 +252,12 @@
 	}
 }
 
-// TestCopiesAheadAreBounded: at 3,000 VMs there was no time before the first callers to copy the other
-// model to each VM that serves, and it went on all day: 1,397 loads on a day on which no VM was lost
-// without notice, which cost two thirds of what its callers were worth. A few groups' worth of
-// copies is what a change over takes at once. Before the first callers copies cost nothing while they are done by
-// then: 799 of them began later, since a thousand VMs of each failure domain were sent theirs.
-func TestCopiesAheadAreBounded(t *testing.T) {
+// TestPrefetchedCopiesAreBounded checks the bounds of prefetched copies. Without a bound, 3,000 VMs don't get
+// all copies of the other model before the first requests, and the loads go on all day: 1,397 loads on a day
+// without a VM lost unannounced cost two thirds of the value of its requests. The VMs that switch to another
+// model at once are a few groups' worth. Copies cost nothing only if they complete before the first requests:
+// with a thousand VMs of each failure domain to copy to, 799 copies started later.
+func TestPrefetchedCopiesAreBounded(t *testing.T) {
 	in := Input{Models: models, Groups: map[string]int{"big": 100, "small": 100}, LoadRoom: 120, UrgentRoom: 120,
 		Demand: map[string]float64{"big": 20, "small": 20}}
 	for i := range 100 {
@@ -257,8 +266,8 @@
 	}
 	early := in
 	early.JoinUnstaged, early.Demand, early.LoadRoom = true, nil, 1<<10
-	if d := Decide(early); len(d.Stagings) != aheadMost {
-		t.Errorf("%d copies before the first callers, %d are done by then", len(d.Stagings), aheadMost)
+	if d := Decide(early); len(d.Stagings) != maxEarlyPrefetch {
+		t.Errorf("%d copies before the first requests, want %d", len(d.Stagings), maxEarlyPrefetch)
 	}
 	copied := 0
 	for range 20 {
@@ -274,7 +283,7 @@
 			}
 		}
 	}
-	if most := 2 * 2; copied > most || copied == 0 {
-		t.Errorf("%d copies of the small model ahead of need, %d make two groups of it", copied, most)
+	if maxCopies := 2 * 2; copied > maxCopies || copied == 0 {
+		t.Errorf("%d prefetched copies of the small model, want at most %d, which make two groups of it", copied, maxCopies)
 	}
 }
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -25,8 +25,8 @@
 cut-off-domains|internal/gateway/choose.go|s/cutPenalty = 1.5/cutPenalty = 0.0/
 slow-plain-tries|internal/gateway/attempt.go|s/if j.out != nil || j.c.Route.Kind/if true || j.out != nil || j.c.Route.Kind/
 groups-given-up|internal/placement/placement.go|s/if len(d.out.Formations) == 0 {/if false \&\& len(d.out.Formations) == 0 {/
-free-vms-kept|internal/placement/placement.go|s/if !ok || d.keepFree(m) {/if !ok {/
-copies-ahead|internal/placement/placement.go|s/^\td.stage(room)$/\tif in.JoinUnstaged { d.stage(room) }/
+free-vms-kept|internal/placement/placement.go|s/if !ok || d.reserveFree(m) {/if !ok {/
+copies-ahead|internal/placement/placement.go|s/^\td.stage(budget)$/\tif in.JoinUnstaged { d.stage(budget) }/
 LIST
 }
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -256,7 +256,7 @@
 mutant "silent nodes count until another is heard" internal/gateway/choose.go \
   's/b\.forgetSilentPeers\(now\)//' ./internal/gateway TestNodesThatFellSilentDontFillHeads
 mutant "free VMs are never kept" internal/placement/placement.go \
-  's/if !ok \|\| d\.keepFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
+  's/if !ok \|\| d\.reserveFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
 
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestCrowdGetsItsAnswersInTime
@@ -366,7 +366,7 @@
 mutant "a restart is the beginning" internal/director/place.go \
   's/ && !s\.served\[domain\]//' ./internal/director TestRestartIsNotTheBeginning
 mutant "copies ahead have no end" internal/placement/copies.go \
-  's/aheadGroups = 2/aheadGroups = 1000/' ./internal/placement TestCopiesAheadAreBounded
+  's/prefetchGroups = 2/prefetchGroups = 1000/' ./internal/placement TestPrefetchedCopiesAreBounded
 mutant "a member counts as long as it lives" internal/cluster/share.go \
   's/countedIntervals\*c\.memberInterval\(\)/c.liveFor()/' ./internal/cluster TestMovedMemberCountsAtOneHub
 mutant "a hub names its own groups apart" internal/cluster/share.go \
@@ -374,7 +374,7 @@
 mutant "each answer is judged by itself" internal/director/state.go \
   's/if !s\.lookPending \{/if true {/' ./internal/director TestAnswersOfManyVMsAreJudgedTogether
 mutant "all VMs get copies before the first callers" internal/placement/copies.go \
-  's/aheadMost = 128/aheadMost = 1 << 20/' ./internal/placement TestCopiesAheadAreBounded
+  's/maxEarlyPrefetch = 128/maxEarlyPrefetch = 1 << 20/' ./internal/placement TestPrefetchedCopiesAreBounded
 mutant "what was planned loads on when callers come" internal/director/groups.go \
   's/s\.mayJoin\(vm, f\) && //' ./internal/director TestCallersComeBeforeTheFirstLoads
 mutant "idle connections have no bound" internal/daemon/daemon.go \
