--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -141,7 +141,7 @@
 	}
 	for _, w := range snapshot.Wants {
 		if w.Fabric == fabric {
-			in.Wants = append(in.Wants, want(w))
+			in.Specs = append(in.Specs, want(w))
 		}
 	}
 	for name, m := range snapshot.Members {
@@ -169,8 +169,8 @@
 	return groups.NewPlan(failureDomain, fabric)
 }
 
-func want(w view.Want) groups.Want {
-	return groups.Want{
+func want(w view.Want) groups.ReplicaSpec {
+	return groups.ReplicaSpec{
 		Row:            w.Name,
 		Service:        w.Service,
 		Pool:           w.Pool,
@@ -277,7 +277,7 @@
 	if plan.Version == 0 {
 		return
 	}
-	var waiting []groups.Loading
+	var waiting []groups.PendingLoad
 	orders := make(map[string]engine.Order)
 	for name, m := range snapshot.Members {
 		w, ok := s.k.board.Get(name)
@@ -290,7 +290,7 @@
 		case fits && (w.Ready || wanted.Group == ""):
 		case wanted.Group != "":
 			orders[name] = wanted
-			waiting = append(waiting, groups.Loading{VM: name, Group: wanted.Group, Begun: fits || s.ordered(now, name)})
+			waiting = append(waiting, groups.PendingLoad{VM: name, Group: wanted.Group, Started: fits || s.ordered(now, name)})
 		case s.pooled(snapshot, m.Pool):
 			s.send(now, name, m.Address, wanted)
 		}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -44,7 +44,7 @@
 		Generation:    g.Generation,
 		Serving:       verdict.Reason == groups.Serving,
 		Reason:        string(verdict.Reason),
-		Missing:       verdict.Missing,
+		Missing:       verdict.Blocking,
 		Size:          uint32(g.Size),
 	}
 	if !out.Serving {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -295,8 +295,8 @@
 	tuneMemory()
 	s := b.settings
 	estimates := groups.DefaultEstimates
-	estimates.Grace = 2 * s.Presence.Window
-	estimates.SettleTime = s.Presence.Window + time.Second
+	estimates.GracePeriod = 2 * s.Presence.Window
+	estimates.PropagationTime = s.Presence.Window + time.Second
 	c := control.New(control.Config{
 		NodeID:              s.Node.ID,
 		FailureDomain:       s.Node.FailureDomain,
--- a/internal/director/dissolve.go
+++ b/internal/director/dissolve.go
@@ -45,7 +45,7 @@
 // unheard reports whether a head that is still listed neither answers nor renews
 // its entry.
 func (s *state) unheard(head *fleet.VM) bool {
-	return s.vm(head.ID).failures >= mostFailures && s.snapshot.Silent(head.ID) > missedHeartbeats*s.d.config.Heartbeat
+	return s.vm(head.ID).failures >= mostFailures && s.snapshot.UnresponsiveFor(head.ID) > missedHeartbeats*s.d.config.Heartbeat
 }
 
 // surelyBroken reports whether the group has been without a member for so long
--- a/internal/director/groups.go
+++ b/internal/director/groups.go
@@ -174,7 +174,7 @@
 // pollWhileStoreAway asks a VM itself when the store can't tell its progress.
 func (s *state) pollWhileStoreAway(now time.Time, vm *fleet.VM, m fleet.Membership) {
 	v := s.vm(vm.ID)
-	if now.Sub(s.snapshot.ProvenAt) < storeStale || m.State == fleet.Open || v.busy || now.Before(v.notBefore) {
+	if now.Sub(s.snapshot.VerifiedAt) < storeStale || m.State == fleet.Open || v.busy || now.Before(v.notBefore) {
 		return
 	}
 	v.busy = true
--- a/internal/director/place.go
+++ b/internal/director/place.go
@@ -33,8 +33,8 @@
 	reserved := s.reserved()
 	in := s.input(now, domain, service, e, func(vm *fleet.VM) bool { return s.free(now, vm) && !reserved[vm.ID] })
 	in.JoinUnstaged = before
-	in.KeptFor = s.keptFor(now)
-	in.LoadRoom, in.UrgentRoom = s.loadRoom(now, e, domain, before)
+	in.ReservedFor = s.keptFor(now)
+	in.LoadBudget, in.UrgentLoadBudget = s.loadRoom(now, e, domain, before)
 	d := placement.Decide(in)
 	if len(d.Formations) > 0 || len(d.Dissolutions) > 0 {
 		in.Groups = s.foresee(now, domain, service, e, before)
@@ -102,11 +102,11 @@
 		in := s.input(now, other, service, e, s.unattached)
 		in.Groups, in.JoinUnstaged = counts, before
 		if before {
-			in.LoadRoom = boundless
+			in.LoadBudget = boundless
 		}
 		d := placement.Decide(in)
 		if s.awaits(now, other, len(d.Formations)+len(d.Dissolutions) > 0) {
-			counts = d.After(in)
+			counts = d.GroupsAfter(in)
 		}
 	}
 	return counts
@@ -249,7 +249,7 @@
 		return true
 	case fleet.Joining, fleet.Ready:
 		model, ok := s.model(g)
-		return ok && g.Whole(model.Size)
+		return ok && g.Complete(model.Size)
 	}
 	return false
 }
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -175,7 +175,7 @@
 		return false
 	}
 	model, ok := s.model(g)
-	if !ok || !g.Whole(model.Size) {
+	if !ok || !g.Complete(model.Size) {
 		return false
 	}
 	for _, vm := range g.Members {
--- a/internal/director/world_test.go
+++ b/internal/director/world_test.go
@@ -403,7 +403,7 @@
 		heard[id] = e.heard
 	}
 	w.snapshot = fleet.NewSnapshot(vms, w.revision, w.now)
-	w.snapshot.Heard = heard
+	w.snapshot.LastSeen = heard
 }
 
 // open counts the groups that serve whole.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -66,32 +66,32 @@
 }
 
 // List implements fleet.Source.
-func (l *list) List(context.Context) (fleet.Watched, error) {
+func (l *list) List(context.Context) (fleet.WatchResult, error) {
 	asked := time.Now()
 	l.calls.Add(1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down.Load() {
-		return fleet.Watched{}, platform.ErrUnavailable
+		return fleet.WatchResult{}, platform.ErrUnavailable
 	}
 	var out []fleet.Change
 	for _, vm := range l.vms {
 		out = append(out, fleet.Change{VM: vm})
 	}
-	return fleet.Watched{Changes: out, Revision: l.revision, ProvenAt: asked}, nil
+	return fleet.WatchResult{Changes: out, Revision: l.revision, VerifiedAt: asked}, nil
 }
 
 // Watch implements fleet.Source; it never waits long.
-func (l *list) Watch(_ context.Context, revision uint64, _ time.Duration) (fleet.Watched, error) {
+func (l *list) Watch(_ context.Context, revision uint64, _ time.Duration) (fleet.WatchResult, error) {
 	l.calls.Add(1)
 	asked := time.Now()
 	time.Sleep(5 * time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down.Load() {
-		return fleet.Watched{}, platform.ErrUnavailable
+		return fleet.WatchResult{}, platform.ErrUnavailable
 	}
-	return fleet.Watched{Changes: append([]fleet.Change(nil), l.changes[revision:]...), Revision: l.revision, ProvenAt: asked}, nil
+	return fleet.WatchResult{Changes: append([]fleet.Change(nil), l.changes[revision:]...), Revision: l.revision, VerifiedAt: asked}, nil
 }
 
 // versions makes the list a catalog.Source.
@@ -251,7 +251,7 @@
 	if calls := follower.platform.calls.Load() - before; calls != 0 {
 		t.Errorf("%d calls of the follower's own", calls)
 	}
-	if follower.directory.Snapshot().Silent("v") != 0 {
+	if follower.directory.Snapshot().UnresponsiveFor("v") != 0 {
 		t.Error("a follower, which sees no heartbeats, calls a VM silent")
 	}
 }
@@ -378,9 +378,9 @@
 	most time.Duration
 }
 
-func (w *waits) Watch(_ context.Context, _ uint64, wait time.Duration) (fleet.Watched, error) {
+func (w *waits) Watch(_ context.Context, _ uint64, wait time.Duration) (fleet.WatchResult, error) {
 	w.most = wait
-	return fleet.Watched{}, nil
+	return fleet.WatchResult{}, nil
 }
 
 // TestLeadersProofStaysYoung: VMs that start together also send their heartbeats together. A leader
--- a/internal/feed/firstread.go
+++ b/internal/feed/firstread.go
@@ -189,16 +189,16 @@
 }
 
 // listOf asks a source for the list of upstream VMs.
-func (l *Leader) listOf(ctx context.Context, source cluster.Record, wait time.Duration) (fleet.Watched, error) {
+func (l *Leader) listOf(ctx context.Context, source cluster.Record, wait time.Duration) (fleet.WatchResult, error) {
 	asked := clock.Now()
 	resp, err := l.client(source).FollowFleet(ctx, connect.NewRequest(&marbleroadv1.FollowFleetRequest{
 		WaitMs: uint32(wait.Milliseconds())}))
 	clock.Sync()
 	switch {
 	case err != nil:
-		return fleet.Watched{}, err
+		return fleet.WatchResult{}, err
 	case resp.Msg.GetCompacted():
-		return fleet.Watched{}, errNoSource
+		return fleet.WatchResult{}, errNoSource
 	}
 	return watched(resp.Msg, asked.Add(milliseconds(resp.Msg.GetProvenAfterMs()))), nil
 }
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -57,11 +57,11 @@
 }
 
 // List implements fleet.Source.
-func (n *narrow) List(context.Context) (fleet.Watched, error) {
+func (n *narrow) List(context.Context) (fleet.WatchResult, error) {
 	n.lists.Add(1)
 	asked := time.Now()
 	if err := n.carry(); err != nil {
-		return fleet.Watched{}, err
+		return fleet.WatchResult{}, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,17 +69,17 @@
 	for _, vm := range n.vms {
 		out = append(out, fleet.Change{VM: vm})
 	}
-	return fleet.Watched{Changes: out, Revision: n.revision, ProvenAt: asked}, nil
+	return fleet.WatchResult{Changes: out, Revision: n.revision, VerifiedAt: asked}, nil
 }
 
 // Watch implements fleet.Source; nothing changes.
-func (n *narrow) Watch(ctx context.Context, revision uint64, _ time.Duration) (fleet.Watched, error) {
+func (n *narrow) Watch(ctx context.Context, revision uint64, _ time.Duration) (fleet.WatchResult, error) {
 	asked := time.Now()
 	select {
 	case <-ctx.Done():
 	case <-time.After(50 * time.Millisecond):
 	}
-	return fleet.Watched{Revision: revision, ProvenAt: asked}, nil
+	return fleet.WatchResult{Revision: revision, VerifiedAt: asked}, nil
 }
 
 // narrowDocuments is its configuration.
@@ -99,7 +99,7 @@
 // Changed implements catalog.Source; nothing changes.
 func (n narrowDocuments) Changed(ctx context.Context, revision uint64, _ time.Duration) (catalog.Watched, error) {
 	w, err := n.Watch(ctx, revision, 0)
-	return catalog.Watched{Revision: w.Revision, ProvenAt: w.ProvenAt}, err
+	return catalog.Watched{Revision: w.Revision, ProvenAt: w.VerifiedAt}, err
 }
 
 // started is a failure domain whose nodes all start at the same moment: nobody has heard of anybody, but
@@ -175,7 +175,7 @@
 	s.remove("left")
 	s.put(fleet.VM{ID: "new"})
 	waitFor(t, "its proof to be old", func() bool {
-		return source.directory.Snapshot().ProvenAt.Add(youngProof + 100*time.Millisecond).Before(time.Now())
+		return source.directory.Snapshot().VerifiedAt.Add(youngProof + 100*time.Millisecond).Before(time.Now())
 	})
 	mux := http.NewServeMux()
 	mux.Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: source.directory, Keeper: source.keeper}}))
@@ -206,8 +206,8 @@
 			if err != nil || !slices.Equal(ids, want) {
 				t.Errorf("lists %v, want %v; error %v", ids, want, err)
 			}
-			if young := time.Since(listed.ProvenAt) < time.Second; young == down {
-				t.Errorf("the proof is %v old", time.Since(listed.ProvenAt))
+			if young := time.Since(listed.VerifiedAt) < time.Second; young == down {
+				t.Errorf("the proof is %v old", time.Since(listed.VerifiedAt))
 			}
 		})
 	}
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -43,9 +43,9 @@
 var _ fleet.Source = (*Fleet)(nil)
 
 // List implements fleet.Source: with many nodes most have the list from others.
-func (f *Fleet) List(ctx context.Context) (fleet.Watched, error) {
-	listed, err := firstRead[fleet.Watched]{of: "list", leader: f.leader, ask: f.leader.listOf, own: f.own.List}.read(ctx)
-	if err != nil || clock.Since(listed.ProvenAt) <= youngProof {
+func (f *Fleet) List(ctx context.Context) (fleet.WatchResult, error) {
+	listed, err := firstRead[fleet.WatchResult]{of: "list", leader: f.leader, ask: f.leader.listOf, own: f.own.List}.read(ctx)
+	if err != nil || clock.Since(listed.VerifiedAt) <= youngProof {
 		return listed, err
 	}
 	return f.refresh(ctx, listed)
@@ -53,13 +53,13 @@
 
 // refresh adds to another node's list what has changed since. That node may be out of touch with the
 // platform; if this one is too, it goes by what the other knows.
-func (f *Fleet) refresh(ctx context.Context, listed fleet.Watched) (fleet.Watched, error) {
+func (f *Fleet) refresh(ctx context.Context, listed fleet.WatchResult) (fleet.WatchResult, error) {
 	since, err := f.own.Watch(ctx, listed.Revision, 0)
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
 		return f.own.List(ctx)
 	case err != nil:
-		f.leader.log.Emit(event.TakenUnproven).Str("of", "list").Dur("age_ms", clock.Since(listed.ProvenAt)).Err(err).Send()
+		f.leader.log.Emit(event.TakenUnproven).Str("of", "list").Dur("age_ms", clock.Since(listed.VerifiedAt)).Err(err).Send()
 		return listed, nil
 	}
 	since.Changes = merge(listed.Changes, since.Changes)
@@ -88,7 +88,7 @@
 }
 
 // Watch implements fleet.Source.
-func (f *Fleet) Watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.Watched, error) {
+func (f *Fleet) Watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.WatchResult, error) {
 	leader, ok := f.leader.pick(clock.Now())
 	if !ok {
 		return f.watch(ctx, revision, f.leader.ownWait(wait))
@@ -105,14 +105,14 @@
 	case err != nil:
 		return f.watch(ctx, revision, wait)
 	case answer.GetCompacted():
-		return fleet.Watched{}, platform.ErrCompacted
+		return fleet.WatchResult{}, platform.ErrCompacted
 	}
 	return watched(answer, provenAt), nil
 }
 
 // watched reads another node's answer.
-func watched(answer *marbleroadv1.FollowFleetResponse, provenAt time.Time) fleet.Watched {
-	out := fleet.Watched{Revision: answer.GetRevision(), ProvenAt: provenAt, Relayed: true}
+func watched(answer *marbleroadv1.FollowFleetResponse, provenAt time.Time) fleet.WatchResult {
+	out := fleet.WatchResult{Revision: answer.GetRevision(), VerifiedAt: provenAt, Relayed: true}
 	for _, c := range answer.GetChanges() {
 		out.Changes = append(out.Changes, toChange(c))
 	}
@@ -120,9 +120,9 @@
 }
 
 // watch waits for changes at the platform itself, unless that is left to the leaders.
-func (f *Fleet) watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.Watched, error) {
+func (f *Fleet) watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.WatchResult, error) {
 	if err := f.calls.allowed(clock.Now()); err != nil {
-		return fleet.Watched{}, err
+		return fleet.WatchResult{}, err
 	}
 	w, err := f.own.Watch(ctx, revision, wait)
 	f.calls.ended(clock.Now(), err)
@@ -137,7 +137,7 @@
 func toChange(c *marbleroadv1.FleetChange) fleet.Change {
 	out := fleet.Change{VM: toVM(c.GetVm()), Removed: c.GetRemoved()}
 	if out.VM.State > fleet.Broken {
-		out = fleet.Change{VM: fleet.VM{ID: out.VM.ID, Revision: out.VM.Revision}, Fault: errState}
+		out = fleet.Change{VM: fleet.VM{ID: out.VM.ID, Revision: out.VM.Revision}, Err: errState}
 	}
 	return out
 }
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &marbleroadv1.FollowFleetResponse{Revision: w.Revision, ProvenAfterMs: after(arrived, w.ProvenAt)}
+	out := &marbleroadv1.FollowFleetResponse{Revision: w.Revision, ProvenAfterMs: after(arrived, w.VerifiedAt)}
 	for _, c := range w.Changes {
 		out.Changes = append(out.Changes, &marbleroadv1.FleetChange{Vm: fromVM(c.VM), Removed: c.Removed})
 	}
@@ -43,9 +43,9 @@
 }
 
 // await waits for changes after the revision; a follower at none knows nothing yet and gets the whole list.
-func (s *Server) await(ctx context.Context, revision uint64, limit time.Duration) (fleet.Watched, error) {
+func (s *Server) await(ctx context.Context, revision uint64, limit time.Duration) (fleet.WatchResult, error) {
 	if revision == 0 {
-		return s.Directory.AwaitWhole(ctx, limit)
+		return s.Directory.AwaitList(ctx, limit)
 	}
 	return s.Directory.Await(ctx, revision, limit)
 }
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -23,26 +23,26 @@
 	// Removed is true if the entry was removed; VM then holds only the ID and, if it is
 	// known, the revision.
 	Removed bool
-	// Fault is the reason why the entry is invalid; another program may have written it.
+	// Err is the reason why the entry is invalid; another program may have written it.
 	// VM then holds only the ID and the revision.
-	Fault error
+	Err error
 }
 
 // Source reads the platform's list of upstream VMs.
 type Source interface {
 	// List returns all entries as changes.
-	List(ctx context.Context) (Watched, error)
+	List(ctx context.Context) (WatchResult, error)
 	// Watch waits up to wait for changes after the revision. It may return none. It
 	// returns platform.ErrCompacted if changes may have been missed.
-	Watch(ctx context.Context, revision uint64, wait time.Duration) (Watched, error)
+	Watch(ctx context.Context, revision uint64, wait time.Duration) (WatchResult, error)
 }
 
-// Watched is the result of one watch, or a full list.
-type Watched struct {
+// WatchResult is the result of one watch, or a full list.
+type WatchResult struct {
 	Changes  []Change
 	Revision uint64
-	// ProvenAt is when the call was sent whose response verified the revision.
-	ProvenAt time.Time
+	// VerifiedAt is when the call was sent whose response verified the revision.
+	VerifiedAt time.Time
 	// Relayed is true if another node responded; heartbeats are then not included.
 	Relayed bool
 }
@@ -176,19 +176,19 @@
 		if err != nil {
 			return sentAt, false, err
 		}
-		d.recordResponse(w.ProvenAt)
+		d.recordResponse(w.VerifiedAt)
 		d.revision, d.listed = w.Revision, true
 		d.replaceAll(w.Changes)
 		d.recent.restart(w.Revision)
 		d.log.Emit(event.ListRead).Int("vms", len(d.vms)).Bool("relayed", w.Relayed).Uint64("revision", w.Revision).
 			Dur("took_ms", clock.Since(sentAt)).Send()
-		return w.ProvenAt, true, nil
+		return w.VerifiedAt, true, nil
 	}
 	w, err := d.source.Watch(ctx, d.revision, d.nextWatchWait())
 	if err != nil {
 		return sentAt, false, err
 	}
-	d.recordResponse(w.ProvenAt)
+	d.recordResponse(w.VerifiedAt)
 	if w.Relayed {
 		clear(d.lastSeen)
 	}
@@ -197,7 +197,7 @@
 	for _, c := range w.Changes {
 		changed = d.apply(c, w.Relayed) || changed
 	}
-	return w.ProvenAt, changed, nil
+	return w.VerifiedAt, changed, nil
 }
 
 // nextWatchWait returns how long the next watch may wait for changes. While the platform
@@ -226,7 +226,7 @@
 	seen := make(map[string]bool, len(entries))
 	for i := range entries {
 		seen[entries[i].VM.ID] = true
-		if entries[i].Fault != nil {
+		if entries[i].Err != nil {
 			d.reject(&entries[i])
 			continue
 		}
@@ -249,7 +249,7 @@
 // has already waited for the entry to reappear after an outage.
 func (d *Directory) apply(c Change, relayed bool) bool {
 	switch {
-	case c.Fault != nil:
+	case c.Err != nil:
 		return d.reject(&c)
 	case c.Removed && relayed:
 		return d.drop(c.VM.ID)
@@ -271,7 +271,7 @@
 // Its group is dissolved according to what its VMs report. reject reports whether a VM
 // was dropped.
 func (d *Directory) reject(c *Change) bool {
-	id, reason := c.VM.ID, c.Fault.Error()
+	id, reason := c.VM.ID, c.Err.Error()
 	if d.isOlder(&c.VM) {
 		return false
 	}
@@ -309,7 +309,7 @@
 	case old == nil:
 		d.log.Emit(event.UpstreamAdded).Str("vm", vm.ID).Int64("born", vm.Born).Str("service", vm.Service).
 			Str("address", vm.Address).Str("fabric", vm.Fabric).Uint64("revision", d.revision).Send()
-	case !old.SameLife(vm):
+	case !old.SameIncarnation(vm):
 		d.log.Emit(event.UpstreamRestarted).Str("vm", vm.ID).Int64("born", vm.Born).Int64("born_before", old.Born).
 			Str("group_before", old.Group).Uint64("revision", d.revision).Send()
 	case vm.Draining && !old.Draining:
@@ -400,7 +400,7 @@
 	old := d.snapshot.Load()
 	if !changed && old != nil {
 		next := *old
-		next.Revision, next.ProvenAt, next.Heard = d.revision, verifiedAt, maps.Clone(d.lastSeen)
+		next.Revision, next.VerifiedAt, next.LastSeen = d.revision, verifiedAt, maps.Clone(d.lastSeen)
 		d.snapshot.Store(&next)
 		return
 	}
@@ -410,7 +410,7 @@
 	}
 	d.leaving.mark(vms)
 	next := NewSnapshot(vms, d.revision, verifiedAt)
-	next.Heard = maps.Clone(d.lastSeen)
+	next.LastSeen = maps.Clone(d.lastSeen)
 	d.snapshot.Store(next)
 	for _, f := range d.onChange {
 		f(next)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -71,9 +71,9 @@
 	Membership
 }
 
-// SameLife reports whether two entries belong to the same incarnation. An entry without
+// SameIncarnation reports whether two entries belong to the same incarnation. An entry without
 // a start time matches any incarnation.
-func (v *VM) SameLife(other *VM) bool {
+func (v *VM) SameIncarnation(other *VM) bool {
 	return v.Born == other.Born || v.Born == 0 || other.Born == 0
 }
 
@@ -112,8 +112,8 @@
 	return g.Members[0]
 }
 
-// Whole reports whether the group has at least size members and all of them are listed.
-func (g *Group) Whole(size int) bool {
+// Complete reports whether the group has at least size members and all of them are listed.
+func (g *Group) Complete(size int) bool {
 	if len(g.Members) < size {
 		return false
 	}
@@ -132,12 +132,12 @@
 	Groups map[string]*Group
 	// Revision is the store's revision that the snapshot reflects.
 	Revision uint64
-	// ProvenAt is when the call was sent whose response last verified the snapshot.
-	ProvenAt time.Time
-	// Heard is when each VM was last seen to renew or change its entry.
-	Heard map[string]time.Time
-	// entries holds data derived from VMs alone. Snapshots that differ only in ProvenAt, Revision
-	// and Heard share it.
+	// VerifiedAt is when the call was sent whose response last verified the snapshot.
+	VerifiedAt time.Time
+	// LastSeen is when each VM was last seen to renew or change its entry.
+	LastSeen map[string]time.Time
+	// entries holds data derived from VMs alone. Snapshots that differ only in VerifiedAt, Revision
+	// and LastSeen share it.
 	entries *entrySet
 }
 
@@ -158,16 +158,16 @@
 // a new snapshot of the same entries.
 func (s *Snapshot) SameVMs(other *Snapshot) bool { return s.entries == other.entries }
 
-// Silent returns for how long the VM has sent no heartbeat, measured against the
+// UnresponsiveFor returns for how long the VM has sent no heartbeat, measured against the
 // newest heartbeat of any VM. While no heartbeats are received at all, it therefore
 // doesn't increase for any VM.
-func (s *Snapshot) Silent(id string) time.Duration {
-	last, known := s.Heard[id]
+func (s *Snapshot) UnresponsiveFor(id string) time.Duration {
+	last, known := s.LastSeen[id]
 	if !known {
 		return 0
 	}
 	newest := last
-	for _, at := range s.Heard {
+	for _, at := range s.LastSeen {
 		if at.After(newest) {
 			newest = at
 		}
@@ -178,7 +178,7 @@
 // NewSnapshot returns a snapshot of the VMs with their groups. If members report
 // different generations of a group, those of the highest generation form the group.
 func NewSnapshot(vms map[string]*VM, revision uint64, verifiedAt time.Time) *Snapshot {
-	s := &Snapshot{entries: new(entrySet), VMs: vms, Groups: make(map[string]*Group), Revision: revision, ProvenAt: verifiedAt}
+	s := &Snapshot{entries: new(entrySet), VMs: vms, Groups: make(map[string]*Group), Revision: revision, VerifiedAt: verifiedAt}
 	for _, v := range vms {
 		if v.Group == "" {
 			continue
--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -15,10 +15,10 @@
 	updated bool
 }
 
-// Leaving records that an incarnation of a VM has announced that it leaves. The VM is marked as draining from
-// the next snapshot on, which is published after at most the wait of a watch. Leaving may be called from any
+// MarkLeaving records that an incarnation of a VM has announced that it leaves. The VM is marked as draining from
+// the next snapshot on, which is published after at most the wait of a watch. MarkLeaving may be called from any
 // goroutine.
-func (d *Directory) Leaving(id string, born int64) {
+func (d *Directory) MarkLeaving(id string, born int64) {
 	l := &d.leaving
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +54,7 @@
 		case vm == nil && len(l.born) > maxLeaving/2:
 			delete(l.born, id)
 		case vm == nil:
-		case !vm.SameLife(&VM{Born: born}):
+		case !vm.SameIncarnation(&VM{Born: born}):
 			delete(l.born, id)
 		case !vm.Draining:
 			marked := *vm
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -16,7 +16,7 @@
 	}
 	d.apply(Change{VM: VM{ID: "a", Born: 7, Revision: 1}}, false)
 	d.publish(time.Now(), true)
-	d.Leaving("a", 7)
+	d.MarkLeaving("a", 7)
 	if !draining() {
 		t.Error("a leaving VM is not draining")
 	}
--- a/internal/fleet/lives_test.go
+++ b/internal/fleet/lives_test.go
@@ -19,7 +19,7 @@
 	if d.apply(Change{VM: VM{ID: "a", Born: 1, Revision: 103, Membership: Membership{Group: "g"}}}, false) {
 		t.Error("an older entry is a change")
 	}
-	if d.apply(Change{VM: VM{ID: "a", Revision: 104}, Fault: errInvalid}, false) || d.vms["a"] == nil {
+	if d.apply(Change{VM: VM{ID: "a", Revision: 104}, Err: errInvalid}, false) || d.vms["a"] == nil {
 		t.Error("an older invalid entry drops a VM")
 	}
 	if !d.apply(Change{VM: VM{ID: "a", Born: 1, Revision: 106}}, false) {
@@ -36,17 +36,17 @@
 		d.apply(Change{VM: VM{ID: id, Revision: 1}}, false)
 	}
 	d.outage.retainUntil = time.Now().Add(time.Hour)
-	if !d.apply(Change{VM: VM{ID: "a", Revision: 2}, Fault: errInvalid}, false) || d.vms["a"] != nil || d.vms["b"] == nil {
+	if !d.apply(Change{VM: VM{ID: "a", Revision: 2}, Err: errInvalid}, false) || d.vms["a"] != nil || d.vms["b"] == nil {
 		t.Errorf("VMs after an invalid entry: %v", d.vms)
 	}
-	d.apply(Change{VM: VM{ID: "a", Revision: 3}, Fault: errInvalid}, false)
+	d.apply(Change{VM: VM{ID: "a", Revision: 3}, Err: errInvalid}, false)
 	if d.Rejected() != 2 || len(d.invalid) != 1 {
 		t.Errorf("%d rejected, %d remembered", d.Rejected(), len(d.invalid))
 	}
 	if !d.apply(Change{VM: VM{ID: "a", Revision: 4}}, false) || len(d.invalid) != 0 {
 		t.Error("a valid entry doesn't list the VM again")
 	}
-	d.replaceAll([]Change{{VM: VM{ID: "a", Revision: 5}, Fault: errInvalid}, {VM: VM{ID: "b", Revision: 1}}})
+	d.replaceAll([]Change{{VM: VM{ID: "a", Revision: 5}, Err: errInvalid}, {VM: VM{ID: "b", Revision: 1}}})
 	if d.vms["a"] != nil || d.vms["b"] == nil {
 		t.Errorf("VMs after a list with an invalid entry: %v", d.vms)
 	}
--- a/internal/fleet/outage_test.go
+++ b/internal/fleet/outage_test.go
@@ -50,11 +50,11 @@
 }
 
 // List implements Source.
-func (s *scriptedStore) List(ctx context.Context) (Watched, error) {
+func (s *scriptedStore) List(ctx context.Context) (WatchResult, error) {
 	sentAt := time.Now()
 	if s.unreachable() {
 		time.Sleep(testTimeout)
-		return Watched{}, platform.ErrUnavailable
+		return WatchResult{}, platform.ErrUnavailable
 	}
 	listed := make(map[string]VM)
 	for _, c := range s.changes[:s.revision()] {
@@ -68,12 +68,12 @@
 	for _, vm := range listed {
 		out = append(out, Change{VM: vm})
 	}
-	return Watched{Changes: out, Revision: s.revision(), ProvenAt: sentAt}, nil
+	return WatchResult{Changes: out, Revision: s.revision(), VerifiedAt: sentAt}, nil
 }
 
 // Watch implements Source. A call whose request or response falls into the time during which
 // the store is unreachable is lost.
-func (s *scriptedStore) Watch(ctx context.Context, revision uint64, wait time.Duration) (Watched, error) {
+func (s *scriptedStore) Watch(ctx context.Context, revision uint64, wait time.Duration) (WatchResult, error) {
 	sentAt := time.Now()
 	lost := s.unreachable()
 	for !lost && s.revision() == revision && time.Since(sentAt) < wait {
@@ -82,9 +82,9 @@
 	}
 	if lost {
 		time.Sleep(wait + testTimeout - time.Since(sentAt))
-		return Watched{}, platform.ErrUnavailable
+		return WatchResult{}, platform.ErrUnavailable
 	}
-	w := Watched{Revision: s.revision(), ProvenAt: sentAt}
+	w := WatchResult{Revision: s.revision(), VerifiedAt: sentAt}
 	for _, c := range s.changes[revision:s.revision()] {
 		w.Changes = append(w.Changes, c.Change)
 	}
--- a/internal/fleet/recent.go
+++ b/internal/fleet/recent.go
@@ -70,13 +70,13 @@
 // since returns the published changes after the revision with the revision that they
 // lead to, and a channel that is closed at the next publication. It returns
 // platform.ErrCompacted if changes after the revision are no longer available.
-func (r *recentChanges) since(revision uint64) (Watched, <-chan struct{}, error) {
+func (r *recentChanges) since(revision uint64) (WatchResult, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.verifiedAt.IsZero() || revision < r.floor {
-		return Watched{}, nil, platform.ErrCompacted
+		return WatchResult{}, nil, platform.ErrCompacted
 	}
-	w := Watched{Revision: max(revision, r.revision), ProvenAt: r.verifiedAt, Relayed: true}
+	w := WatchResult{Revision: max(revision, r.revision), VerifiedAt: r.verifiedAt, Relayed: true}
 	for _, c := range r.changes {
 		if c.revision > revision {
 			w.Changes = append(w.Changes, c.Change)
@@ -87,7 +87,7 @@
 
 // Await waits up to wait for changes after the revision, as Source.Watch does, but
 // returns them from those that this directory has read. Heartbeats are not included.
-func (d *Directory) Await(ctx context.Context, revision uint64, wait time.Duration) (Watched, error) {
+func (d *Directory) Await(ctx context.Context, revision uint64, wait time.Duration) (WatchResult, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -105,9 +105,9 @@
 	}
 }
 
-// AwaitWhole waits up to wait until this directory has read the list and returns all entries, however long ago
+// AwaitList waits up to wait until this directory has read the list and returns all entries, however long ago
 // they were verified. It returns platform.ErrCompacted if there is no list.
-func (d *Directory) AwaitWhole(ctx context.Context, wait time.Duration) (Watched, error) {
+func (d *Directory) AwaitList(ctx context.Context, wait time.Duration) (WatchResult, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -118,9 +118,9 @@
 		select {
 		case <-published:
 		case <-timer.C:
-			return Watched{}, platform.ErrCompacted
+			return WatchResult{}, platform.ErrCompacted
 		case <-ctx.Done():
-			return Watched{}, ctx.Err()
+			return WatchResult{}, ctx.Err()
 		}
 	}
 }
@@ -133,8 +133,8 @@
 }
 
 // asList returns all entries of the snapshot as a list for another node.
-func (s *Snapshot) asList() Watched {
-	w := Watched{Revision: s.Revision, ProvenAt: s.ProvenAt, Relayed: true, Changes: make([]Change, 0, len(s.VMs))}
+func (s *Snapshot) asList() WatchResult {
+	w := WatchResult{Revision: s.Revision, VerifiedAt: s.VerifiedAt, Relayed: true, Changes: make([]Change, 0, len(s.VMs))}
 	for _, vm := range s.VMs {
 		w.Changes = append(w.Changes, Change{VM: *vm})
 	}
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -253,7 +253,7 @@
 func (b *board) endFormerLives(s *fleet.Snapshot) {
 	for _, t := range b.targets {
 		vm := s.VMs[t.vm.ID]
-		if vm == nil || vm.SameLife(t.vm) {
+		if vm == nil || vm.SameIncarnation(t.vm) {
 			continue
 		}
 		for s := range t.running {
@@ -295,7 +295,7 @@
 
 func (b *board) keep(next *target) *target {
 	old := b.targets[next.key()]
-	if old == nil || !old.vm.SameLife(next.vm) {
+	if old == nil || !old.vm.SameIncarnation(next.vm) {
 		next.running = make(map[*send]struct{})
 		return next
 	}
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -150,7 +150,7 @@
 		return false
 	}
 	vm := snapshot.VMs[life.VM]
-	return vm != nil && vm.SameLife(&fleet.VM{Born: life.Born})
+	return vm != nil && vm.SameIncarnation(&fleet.VM{Born: life.Born})
 }
 
 // Condition tells what a VM said of its own condition, for operators; empty when nothing ails it.
@@ -205,7 +205,7 @@
 
 // takeOut takes a VM that is about to end out of use, and has the other nodes know.
 func (s *Server) takeOut(life backpressure.Life, request string) {
-	s.parts.Directory.Leaving(life.VM, life.Born)
+	s.parts.Directory.MarkLeaving(life.VM, life.Born)
 	s.log.Emit(event.UpstreamLeaving).Str("vm", life.VM).Int64("born", life.Born).Str("request", request).Bool("told", request == "").Send()
 	s.parts.Nudge()
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -240,5 +240,5 @@
 // endedBy reports whether the list shows that a VM's life has ended.
 func endedBy(snapshot *fleet.Snapshot, vm *fleet.VM) bool {
 	now := snapshot.VMs[vm.ID]
-	return now == nil || !now.SameLife(vm)
+	return now == nil || !now.SameIncarnation(vm)
 }
--- a/internal/groups/decide.go
+++ b/internal/groups/decide.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Want is one row of the groups sheet for this fabric domain: how many
+// ReplicaSpec is one row of the groups sheet for this fabric domain: how many
 // replicas of which size a service needs.
-type Want struct {
+type ReplicaSpec struct {
 	Row      string
 	Service  string
 	Pool     string
@@ -43,11 +43,11 @@
 // Estimates holds the assumed failure statistics, from which the expected cost
 // of each repair is computed; docs/POLICY.md explains each.
 type Estimates struct {
-	// Grace is how long a VM must be missing before its group changes; at least
+	// GracePeriod is how long a VM must be missing before its group changes; at least
 	// twice the presence window, so that no entry still uses the VM.
-	Grace time.Duration
-	// ReturnChance is the fraction of lost VMs that return by themselves.
-	ReturnChance float64
+	GracePeriod time.Duration
+	// ReturnProbability is the fraction of lost VMs that return by themselves.
+	ReturnProbability float64
 	// ReturnTime is the mean time until such a VM is back.
 	ReturnTime time.Duration
 	// RepairTime is the mean time until a VM that does not return is replaced.
@@ -56,27 +56,27 @@
 	// Requests that still run then are interrupted, so the limit is longer than
 	// responses take.
 	DrainLimit time.Duration
-	// SettleTime is how long a group must have been retiring before it is
+	// PropagationTime is how long a group must have been retiring before it is
 	// released because its VMs are idle: every entry has received the retirement
 	// by then and sends no further requests.
-	SettleTime time.Duration
+	PropagationTime time.Duration
 }
 
 // DefaultEstimates are derived from a fleet with 3,600 restarts a day beside
 // 210 failures.
 var DefaultEstimates = Estimates{
-	Grace:        6 * time.Second,
-	ReturnChance: 0.94,
-	ReturnTime:   45 * time.Second,
-	RepairTime:   time.Hour,
-	DrainLimit:   15 * time.Minute,
-	SettleTime:   3 * time.Second,
+	GracePeriod:       6 * time.Second,
+	ReturnProbability: 0.94,
+	ReturnTime:        45 * time.Second,
+	RepairTime:        time.Hour,
+	DrainLimit:        15 * time.Minute,
+	PropagationTime:   3 * time.Second,
 }
 
 // Input holds everything that Decide depends on.
 type Input struct {
 	Plan  *Plan
-	Wants []Want
+	Specs []ReplicaSpec
 	VMs   map[string]VM
 	// RetiringFor maps the ID of each retiring group to how long it has been
 	// retiring.
@@ -120,8 +120,8 @@
 // control processes with the same input compute the same plan.
 func Decide(in Input) (*Plan, []Move) {
 	d := &decision{in: in, next: in.Plan.Clone()}
-	d.specs = make(map[string]Want, len(in.Wants))
-	for _, spec := range in.Wants {
+	d.specs = make(map[string]ReplicaSpec, len(in.Specs))
+	for _, spec := range in.Specs {
 		d.specs[spec.Row] = spec
 	}
 	d.retireObsolete()
@@ -146,7 +146,7 @@
 	in   Input
 	next *Plan
 	// specs holds the wanted replicas by row.
-	specs   map[string]Want
+	specs   map[string]ReplicaSpec
 	moves   []Move
 	changed bool
 	// membersChanged holds the IDs of groups whose VMs changed; they get a new
@@ -222,11 +222,11 @@
 	}
 }
 
-// drained reports whether a group has been retiring for the settle time and has
+// drained reports whether a group has been retiring for the propagation time and has
 // no running requests, or has reached the drain limit.
 func (d *decision) drained(g Group) bool {
 	retiringFor, known := d.in.RetiringFor[g.ID]
-	if !known || retiringFor < d.in.Estimates.SettleTime {
+	if !known || retiringFor < d.in.Estimates.PropagationTime {
 		return false
 	}
 	if retiringFor >= d.in.Estimates.DrainLimit {
@@ -243,7 +243,7 @@
 // incomplete describes an active group with lost VMs or empty ranks.
 type incomplete struct {
 	group Group
-	spec  Want
+	spec  ReplicaSpec
 	// lost holds the members that are not present.
 	lost []string
 	// empty counts the ranks without a VM.
@@ -333,9 +333,9 @@
 }
 
 // graceElapsed reports whether the group may change: every lost VM has been
-// missing for the grace time, so no entry still treats it as present.
+// missing for the grace period, so no entry still treats it as present.
 func (d *decision) graceElapsed(inc incomplete) bool {
-	return len(inc.lost) == 0 || inc.shortestMissing >= d.in.Estimates.Grace
+	return len(inc.lost) == 0 || inc.shortestMissing >= d.in.Estimates.GracePeriod
 }
 
 // chooseAction returns the cheapest of repairing the group now, of waiting for
@@ -417,7 +417,7 @@
 // group.
 func (d *decision) gainOfReuse(inc incomplete) (gain float64, use bool) {
 	free := len(d.spares(inc.spec.Pool)) + inc.healthy
-	for _, spec := range d.in.Wants {
+	for _, spec := range d.in.Specs {
 		if spec.Row == inc.spec.Row || spec.Pool != inc.spec.Pool || inc.healthy == 0 {
 			continue
 		}
@@ -489,7 +489,7 @@
 // formMissing forms the missing replicas of each row as far as there are spare
 // VMs, rows with the highest downtime weight first.
 func (d *decision) formMissing() {
-	specs := append([]Want(nil), d.in.Wants...)
+	specs := append([]ReplicaSpec(nil), d.in.Specs...)
 	sort.SliceStable(specs, func(i, j int) bool {
 		if specs[i].DowntimeWeight != specs[j].DowntimeWeight {
 			return specs[i].DowntimeWeight > specs[j].DowntimeWeight
--- a/internal/groups/decide_test.go
+++ b/internal/groups/decide_test.go
@@ -16,7 +16,7 @@
 	plan     *Plan
 	vms      map[string]VM
 	retiring map[string]time.Duration
-	wants    []Want
+	specs    []ReplicaSpec
 }
 
 func newFleet(n int) *fleet {
@@ -30,7 +30,7 @@
 
 func (f *fleet) decide() []Move {
 	next, moves := Decide(Input{
-		Plan: f.plan, Wants: f.wants, VMs: f.vms, RetiringFor: f.retiring, Estimates: DefaultEstimates,
+		Plan: f.plan, Specs: f.specs, VMs: f.vms, RetiringFor: f.retiring, Estimates: DefaultEstimates,
 	})
 	if next != nil {
 		f.plan = next
@@ -61,8 +61,8 @@
 	f.vms[name] = vm
 }
 
-func want(size, replicas int) Want {
-	return Want{Row: "r", Service: "s", Pool: "p", Size: size, Replicas: replicas,
+func newSpec(size, replicas int) ReplicaSpec {
+	return ReplicaSpec{Row: "r", Service: "s", Pool: "p", Size: size, Replicas: replicas,
 		DowntimeWeight: 1, StrandedWeight: 0.1, LoadTime: 30 * time.Second}
 }
 
@@ -76,7 +76,7 @@
 		vm := rapid.SampledFrom([]string{"vm-00", "vm-01", "vm-02", "vm-03", "vm-04", "vm-05", "vm-06", "vm-07", "vm-08", "vm-09"})
 		t.Repeat(map[string]func(*rapid.T){
 			"want": func(t *rapid.T) {
-				f.wants = []Want{want(rapid.IntRange(1, 4).Draw(t, "size"), rapid.IntRange(0, 3).Draw(t, "replicas"))}
+				f.specs = []ReplicaSpec{newSpec(rapid.IntRange(1, 4).Draw(t, "size"), rapid.IntRange(0, 3).Draw(t, "replicas"))}
 			},
 			"lose": func(t *rapid.T) {
 				f.lose(vm.Draw(t, "vm"), time.Duration(rapid.IntRange(0, 600).Draw(t, "s"))*time.Second)
@@ -135,11 +135,11 @@
 }
 
 // TestFormsWaitsAndTakesSpare checks that groups are formed, that the loss of a
-// VM changes nothing within the grace time, and that a spare replaces the VM
+// VM changes nothing within the grace period, and that a spare replaces the VM
 // after it.
 func TestFormsWaitsAndTakesSpare(t *testing.T) {
 	f := newFleet(9)
-	f.wants = []Want{want(4, 2)}
+	f.specs = []ReplicaSpec{newSpec(4, 2)}
 	f.decide()
 	f.obeyAll()
 	if len(f.plan.Assign) != 8 {
@@ -147,7 +147,7 @@
 	}
 	f.lose("vm-00", time.Second)
 	if moves := f.decide(); len(moves) != 0 {
-		t.Fatalf("moves within the grace time: %v", moves)
+		t.Fatalf("moves within the grace period: %v", moves)
 	}
 	f.lose("vm-00", 10*time.Second)
 	moves := f.decide()
@@ -164,7 +164,7 @@
 func TestEqualViewsGiveEqualPlans(t *testing.T) {
 	for range 20 {
 		a, b := newFleet(10), newFleet(10)
-		a.wants, b.wants = []Want{want(3, 3)}, []Want{want(3, 3)}
+		a.specs, b.specs = []ReplicaSpec{newSpec(3, 3)}, []ReplicaSpec{newSpec(3, 3)}
 		a.decide()
 		b.decide()
 		x, _ := a.plan.Encode()
@@ -180,14 +180,14 @@
 func TestWeightsChoose(t *testing.T) {
 	choose := func(down, stranded float64) Choice {
 		f := newFleet(8)
-		w := want(8, 1)
+		w := newSpec(8, 1)
 		w.DowntimeWeight, w.StrandedWeight = down, stranded
-		small := Want{Row: "small", Service: "s2", Pool: "p", Size: 4, Replicas: 1, DowntimeWeight: 1, LoadTime: 5 * time.Second}
-		f.wants = []Want{w, small}
-		f.wants[0].DowntimeWeight = max(down, 1.1)
+		small := ReplicaSpec{Row: "small", Service: "s2", Pool: "p", Size: 4, Replicas: 1, DowntimeWeight: 1, LoadTime: 5 * time.Second}
+		f.specs = []ReplicaSpec{w, small}
+		f.specs[0].DowntimeWeight = max(down, 1.1)
 		f.decide()
 		f.obeyAll()
-		f.wants[0].DowntimeWeight = down
+		f.specs[0].DowntimeWeight = down
 		f.lose("vm-03", 10*time.Second)
 		return f.decide()[0].Choice
 	}
--- a/internal/groups/eligible.go
+++ b/internal/groups/eligible.go
@@ -22,18 +22,18 @@
 
 // Eligibility is the result of Eligible for one group.
 type Eligibility struct {
-	// Reason is that of the last of the VMs in Missing.
+	// Reason is that of the last of the VMs in Blocking.
 	Reason Reason
-	// Missing lists the VMs, by rank, because of which the group must not
+	// Blocking lists the VMs, by rank, because of which the group must not
 	// receive requests; the name is empty for a rank without VM.
-	Missing []string
-	// Until is when the result expires unless newer probes are answered; zero if
+	Blocking []string
+	// ValidUntil is when the result expires unless newer probes are answered; zero if
 	// the group must not receive requests.
-	Until time.Time
+	ValidUntil time.Time
 }
 
-// Witnesses looks up the newest probe result of a VM.
-type Witnesses interface {
+// ProbeResults looks up the newest probe result of a VM.
+type ProbeResults interface {
 	Get(vm string) (presence.Witness, bool)
 }
 
@@ -43,24 +43,24 @@
 // alone is not sufficient, since orders can be late, lost or ignored; therefore
 // the engines' own reports count. leaving holds the VMs that must receive no new
 // requests.
-func Eligible(p *Plan, g Group, probes Witnesses, leaving map[string]bool, now time.Time, window time.Duration) Eligibility {
+func Eligible(p *Plan, g Group, probes ProbeResults, leaving map[string]bool, now time.Time, window time.Duration) Eligibility {
 	if g.Phase != Active {
 		return Eligibility{Reason: NotActive}
 	}
-	out := Eligibility{Until: now.Add(window)}
+	out := Eligibility{ValidUntil: now.Add(window)}
 	for rank, vm := range p.Members(g) {
 		reason, sentAt := checkMember(g, rank, vm, probes, leaving, now, window)
 		if reason != Serving {
 			out.Reason = reason
-			out.Missing = append(out.Missing, vm)
+			out.Blocking = append(out.Blocking, vm)
 			continue
 		}
-		if until := sentAt.Add(window); until.Before(out.Until) {
-			out.Until = until
+		if until := sentAt.Add(window); until.Before(out.ValidUntil) {
+			out.ValidUntil = until
 		}
 	}
 	if out.Reason != Serving {
-		out.Until = time.Time{}
+		out.ValidUntil = time.Time{}
 	}
 	return out
 }
@@ -68,7 +68,7 @@
 // checkMember checks one VM of the group; it returns Serving and when the VM's
 // newest answered probe was sent if the VM doesn't keep the group from receiving
 // requests.
-func checkMember(g Group, rank int, vm string, probes Witnesses, leaving map[string]bool, now time.Time, window time.Duration) (Reason, time.Time) {
+func checkMember(g Group, rank int, vm string, probes ProbeResults, leaving map[string]bool, now time.Time, window time.Duration) (Reason, time.Time) {
 	if vm == "" {
 		return EmptyRank, time.Time{}
 	}
--- a/internal/groups/eligible_test.go
+++ b/internal/groups/eligible_test.go
@@ -72,8 +72,8 @@
 		if (got.Reason == Serving) != want {
 			t.Fatalf("got %q, want serving %t", got.Reason, want)
 		}
-		if want && got.Until.Sub(now) > window {
-			t.Fatalf("valid until %s after now", got.Until.Sub(now))
+		if want && got.ValidUntil.Sub(now) > window {
+			t.Fatalf("valid until %s after now", got.ValidUntil.Sub(now))
 		}
 	})
 }
--- a/internal/groups/load.go
+++ b/internal/groups/load.go
@@ -2,31 +2,31 @@
 
 import "sort"
 
-// Loading describes a VM that reports another group than the plan's, or that is
+// PendingLoad describes a VM that reports another group than the plan's, or that is
 // not ready yet.
-type Loading struct {
+type PendingLoad struct {
 	VM    string
 	Group string
-	// Begun is true if the VM has been ordered to load.
-	Begun bool
+	// Started is true if the VM has been ordered to load.
+	Started bool
 }
 
 // NextToLoad returns the VMs that may be ordered to load now, so that no more
 // than maxLoading load at once. Groups are completed one after the other: first
 // those with the fewest VMs left to load, then those with the highest downtime
 // weight. weight maps a group to that weight.
-func NextToLoad(waiting []Loading, weight map[string]float64, maxLoading int) []string {
+func NextToLoad(waiting []PendingLoad, weight map[string]float64, maxLoading int) []string {
 	remaining := make(map[string]int)
 	started := 0
 	for _, l := range waiting {
 		remaining[l.Group]++
-		if l.Begun {
+		if l.Started {
 			started++
 		}
 	}
-	var next []Loading
+	var next []PendingLoad
 	for _, l := range waiting {
-		if !l.Begun {
+		if !l.Started {
 			next = append(next, l)
 		}
 	}
--- a/internal/groups/load_test.go
+++ b/internal/groups/load_test.go
@@ -8,10 +8,10 @@
 
 // TestGroupsAreCompletedOneAfterTheOther checks the order of loads and their limit.
 func TestGroupsAreCompletedOneAfterTheOther(t *testing.T) {
-	var waiting []Loading
+	var waiting []PendingLoad
 	add := func(group string, vms, started int) {
 		for i := range vms {
-			waiting = append(waiting, Loading{VM: fmt.Sprintf("%s-%d", group, i), Group: group, Begun: i < started})
+			waiting = append(waiting, PendingLoad{VM: fmt.Sprintf("%s-%d", group, i), Group: group, Started: i < started})
 		}
 	}
 	add("a", 4, 0)
--- a/internal/groups/plan.go
+++ b/internal/groups/plan.go
@@ -14,8 +14,8 @@
 	"github.com/marbleroad/marbleroad/internal/item"
 )
 
-// ErrBadPlan marks a stored plan that can't be decoded or violates an invariant.
-var ErrBadPlan = errors.New("invalid plan")
+// ErrInvalidPlan marks a stored plan that can't be decoded or violates an invariant.
+var ErrInvalidPlan = errors.New("invalid plan")
 
 // Phase is a group's phase in its life cycle.
 type Phase string
@@ -76,7 +76,7 @@
 func Decode(value []byte) (*Plan, error) {
 	var p Plan
 	if err := json.Unmarshal(value, &p); err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "decode plan"), ErrBadPlan)
+		return nil, errors.Mark(errors.Wrap(err, "decode plan"), ErrInvalidPlan)
 	}
 	if p.Assign == nil {
 		p.Assign = make(map[string]Assignment)
@@ -96,7 +96,7 @@
 	sizes := make(map[string]int, len(p.Groups))
 	for _, g := range p.Groups {
 		if g.ID == "" || g.Size < 1 {
-			return errors.Wrapf(ErrBadPlan, "group %q of size %d", g.ID, g.Size)
+			return errors.Wrapf(ErrInvalidPlan, "group %q of size %d", g.ID, g.Size)
 		}
 		sizes[g.ID] = g.Size
 	}
@@ -104,10 +104,10 @@
 	for vm, a := range p.Assign {
 		size, ok := sizes[a.Group]
 		if !ok || a.Rank < 0 || a.Rank >= size {
-			return errors.Wrapf(ErrBadPlan, "VM %s at rank %d of group %q", vm, a.Rank, a.Group)
+			return errors.Wrapf(ErrInvalidPlan, "VM %s at rank %d of group %q", vm, a.Rank, a.Group)
 		}
 		if other, twice := taken[a]; twice {
-			return errors.Wrapf(ErrBadPlan, "VMs %s and %s at rank %d of group %s", vm, other, a.Rank, a.Group)
+			return errors.Wrapf(ErrInvalidPlan, "VMs %s and %s at rank %d of group %s", vm, other, a.Rank, a.Group)
 		}
 		taken[a] = vm
 	}
@@ -174,7 +174,7 @@
 
 // add adds an empty group for the row under the lowest free number and returns
 // its ID.
-func (p *Plan) add(spec Want) string {
+func (p *Plan) add(spec ReplicaSpec) string {
 	for n := 0; ; n++ {
 		id := spec.Row + "-" + strconv.Itoa(n)
 		if _, taken := p.Group(id); taken {
--- a/internal/groups/returns.go
+++ b/internal/groups/returns.go
@@ -27,8 +27,8 @@
 		return model
 	}
 	missing := (inc.longestMissing + additional).Seconds()
-	stillReturning := e.ReturnChance * math.Exp(-missing/e.ReturnTime.Seconds())
-	model.returnProbability = math.Pow(stillReturning/(stillReturning+1-e.ReturnChance), float64(len(inc.lost)))
+	stillReturning := e.ReturnProbability * math.Exp(-missing/e.ReturnTime.Seconds())
+	model.returnProbability = math.Pow(stillReturning/(stillReturning+1-e.ReturnProbability), float64(len(inc.lost)))
 	for n := range inc.lost {
 		model.meanReturn += e.ReturnTime.Seconds() / float64(n+1)
 	}
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -158,7 +158,7 @@
 		v.Configuration.ProvenAge = s.Keeper.ProvenAge(now)
 	}
 	if list := s.Directory.Snapshot(); list != nil {
-		v.ListAge, v.ListRevision = now.Sub(list.ProvenAt), list.Revision
+		v.ListAge, v.ListRevision = now.Sub(list.VerifiedAt), list.Revision
 		v.Upstreams = s.upstreams(list)
 		v.Groups = s.groups(list, current)
 	}
--- a/internal/placement/copies.go
+++ b/internal/placement/copies.go
@@ -7,10 +7,10 @@
 )
 
 // stage starts copies of models within the budget: first those that groups of
-// underserved models need, for which the larger of the budget and UrgentRoom
+// underserved models need, for which the larger of the budget and UrgentLoadBudget
 // applies, then prefetches onto other hosts.
 func (d *decider) stage(budget int) {
-	for urgentBudget := max(budget, d.in.UrgentRoom); urgentBudget > 0; urgentBudget-- {
+	for urgentBudget := max(budget, d.in.UrgentLoadBudget); urgentBudget > 0; urgentBudget-- {
 		s, ok := d.nextUrgentStaging()
 		if !ok {
 			break
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -46,13 +46,13 @@
 	// Demand is the requested work for each model, in the number of groups that
 	// it would keep busy; empty while unknown.
 	Demand map[string]float64
-	// LoadRoom is how many loads from the weight store may start now. UrgentRoom
+	// LoadBudget is how many loads from the weight store may start now. UrgentLoadBudget
 	// also includes the loads that other failure domains leave unused.
-	LoadRoom   int
-	UrgentRoom int
-	// KeptFor maps a fabric domain to the model for which groups there were
+	LoadBudget       int
+	UrgentLoadBudget int
+	// ReservedFor maps a fabric domain to the model for which groups there were
 	// dissolved; free VMs are reserved for it.
-	KeptFor map[string]string
+	ReservedFor map[string]string
 	// JoinUnstaged allows groups of VMs that still have to load. It is meant
 	// for the time before the first requests, when loads are fast.
 	JoinUnstaged bool
@@ -84,9 +84,9 @@
 	DissolvedIn  string
 }
 
-// After returns the number of groups of each model once the decision is carried out.
+// GroupsAfter returns the number of groups of each model once the decision is carried out.
 // A group for which others are dissolved counts as formed.
-func (d Decision) After(in Input) map[string]int {
+func (d Decision) GroupsAfter(in Input) map[string]int {
 	out := make(map[string]int, len(in.Groups))
 	for model, n := range in.Groups {
 		out[model] = n
@@ -122,7 +122,7 @@
 	}
 	for d.formNext(0) {
 	}
-	budget := in.LoadRoom
+	budget := in.LoadBudget
 	for in.JoinUnstaged && budget > 0 && d.formNext(budget) {
 		budget -= d.out.Formations[len(d.out.Formations)-1].Loads
 	}
@@ -262,7 +262,7 @@
 // group of the model needs, with the number of loads and the total cost; members is
 // nil if there are too few VMs.
 func (d *decider) cheapestMembers(m catalog.Model, fabric string, withLoads bool) (members []string, loads int, cost float64) {
-	if kept := d.in.KeptFor[fabric]; kept != "" && kept != m.Name {
+	if kept := d.in.ReservedFor[fabric]; kept != "" && kept != m.Name {
 		return nil, 0, 0
 	}
 	type candidate struct {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -34,7 +34,7 @@
 	for f := range 6 {
 		free = append(free, fabric(fmt.Sprint(f), 8, VM{})...)
 	}
-	d := Decide(Input{Free: free, Models: models, LoadRoom: 1000, JoinUnstaged: true})
+	d := Decide(Input{Free: free, Models: models, LoadBudget: 1000, JoinUnstaged: true})
 	count := map[string]int{}
 	vms := 0
 	for _, f := range d.Formations {
@@ -47,7 +47,7 @@
 }
 
 func TestLoadsKeepToTheirBudget(t *testing.T) {
-	d := Decide(Input{Free: fabric("a", 8, VM{}), Models: models, LoadRoom: 2})
+	d := Decide(Input{Free: fabric("a", 8, VM{}), Models: models, LoadBudget: 2})
 	if len(d.Formations) != 0 || len(d.Stagings) != 2 {
 		t.Errorf("%+v", d)
 	}
@@ -87,7 +87,7 @@
 // TestFreedVMsAreKept checks that the VMs of groups that were dissolved for one model
 // are not used for the other before all of them are free.
 func TestFreedVMsAreKept(t *testing.T) {
-	in := Input{Free: fabric("a", 2, VM{Last: "small", Staged: []string{"big"}}), Models: models, KeptFor: map[string]string{"a": "big"},
+	in := Input{Free: fabric("a", 2, VM{Last: "small", Staged: []string{"big"}}), Models: models, ReservedFor: map[string]string{"a": "big"},
 		Groups: map[string]int{"big": 1, "small": 1}, Demand: map[string]float64{"big": 3, "small": 3}}
 	if d := Decide(in); len(d.Formations) != 0 {
 		t.Errorf("formed %+v", d.Formations)
@@ -102,7 +102,7 @@
 // onto VMs that serve another one, within the load budget.
 func TestServingVMsGetTheOtherModelsCopy(t *testing.T) {
 	in := Input{Open: []Group{{Name: "g", Model: "big", Fabric: "a", Members: fabric("a", 4, VM{Last: "big", Staged: []string{"big"}})}},
-		Models: models, Groups: map[string]int{"big": 1}, LoadRoom: 3}
+		Models: models, Groups: map[string]int{"big": 1}, LoadBudget: 3}
 	d := Decide(in)
 	if len(d.Stagings) != 3 || d.Stagings[0].Model != "small" {
 		t.Errorf("%+v", d.Stagings)
@@ -117,7 +117,7 @@
 		var in Input
 		in.Models = models
 		in.JoinUnstaged = rapid.Bool().Draw(t, "before")
-		in.LoadRoom = rapid.IntRange(0, 6).Draw(t, "room")
+		in.LoadBudget = rapid.IntRange(0, 6).Draw(t, "room")
 		in.Groups = map[string]int{"big": rapid.IntRange(0, 8).Draw(t, "big"), "small": rapid.IntRange(0, 8).Draw(t, "small")}
 		fabricOf := map[string]string{}
 		for i := range rapid.IntRange(0, 20).Draw(t, "vms") {
@@ -147,8 +147,8 @@
 				t.Fatal("a group has to load although there are requests")
 			}
 		}
-		if !in.JoinUnstaged && loads > in.LoadRoom {
-			t.Fatalf("%d loads with a budget of %d", loads, in.LoadRoom)
+		if !in.JoinUnstaged && loads > in.LoadBudget {
+			t.Fatalf("%d loads with a budget of %d", loads, in.LoadBudget)
 		}
 		for _, s := range d.Stagings {
 			if used[s.VM] {
@@ -161,7 +161,7 @@
 // short returns an input with equal demand for both models; groups counts those of
 // each model.
 func short(groups map[string]int) Input {
-	return Input{Models: models, Groups: groups, Demand: map[string]float64{"big": 4, "small": 4}, LoadRoom: 1}
+	return Input{Models: models, Groups: groups, Demand: map[string]float64{"big": 4, "small": 4}, LoadBudget: 1}
 }
 
 // TestCopyCostsNothingBesideTheLastModel checks that a free VM whose only copy is of
@@ -200,7 +200,7 @@
 // loads.
 func TestServingVMsGetWhatAShortModelLacks(t *testing.T) {
 	in := short(map[string]int{"big": 3, "small": 9})
-	in.UrgentRoom = 6
+	in.UrgentLoadBudget = 6
 	for g := range 3 {
 		pair := Group{Name: fmt.Sprint("g", g), Model: "small", Fabric: "a"}
 		for i := range 2 {
@@ -239,7 +239,7 @@
 // TestSparesForEachModel checks that free VMs that form no group get copies of both
 // models, of the larger one first.
 func TestSparesForEachModel(t *testing.T) {
-	in := Input{Models: models, LoadRoom: 100}
+	in := Input{Models: models, LoadBudget: 100}
 	for i := range 3 {
 		in.Free = append(in.Free, VM{ID: fmt.Sprint(i), Fabric: "a"})
 	}
@@ -258,14 +258,14 @@
 // model at once are a few groups' worth. Copies cost nothing only if they complete before the first requests:
 // with a thousand VMs of each failure domain to copy to, 799 copies started later.
 func TestPrefetchedCopiesAreBounded(t *testing.T) {
-	in := Input{Models: models, Groups: map[string]int{"big": 100, "small": 100}, LoadRoom: 120, UrgentRoom: 120,
+	in := Input{Models: models, Groups: map[string]int{"big": 100, "small": 100}, LoadBudget: 120, UrgentLoadBudget: 120,
 		Demand: map[string]float64{"big": 20, "small": 20}}
 	for i := range 100 {
 		name := fmt.Sprint("g", i)
 		in.Open = append(in.Open, Group{Name: name, Model: "big", Fabric: name, Members: fabric(name, 4, VM{Last: "big", Staged: []string{"big"}})})
 	}
 	early := in
-	early.JoinUnstaged, early.Demand, early.LoadRoom = true, nil, 1<<10
+	early.JoinUnstaged, early.Demand, early.LoadBudget = true, nil, 1<<10
 	if d := Decide(early); len(d.Stagings) != maxEarlyPrefetch {
 		t.Errorf("%d copies before the first requests, want %d", len(d.Stagings), maxEarlyPrefetch)
 	}
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -122,7 +122,7 @@
 
 // Build returns the snapshot at now. An item that cannot be read leaves its
 // last good version in force and is reported as a fault, once per version.
-func (b *Builder) Build(w groups.Witnesses, now time.Time, window time.Duration) (*Snapshot, []Fault) {
+func (b *Builder) Build(w groups.ProbeResults, now time.Time, window time.Duration) (*Snapshot, []Fault) {
 	faults := b.refresh()
 	s := *b.base
 	s.Services = make(map[string]Service, len(b.base.Services))
@@ -309,7 +309,7 @@
 	return faults
 }
 
-func (b *Builder) addGroups(s *Snapshot, w groups.Witnesses, now time.Time, window time.Duration) {
+func (b *Builder) addGroups(s *Snapshot, w groups.ProbeResults, now time.Time, window time.Duration) {
 	for _, p := range s.Plans {
 		for _, g := range p.Groups {
 			verdict := groups.Eligible(p, g, w, s.Leaving, now, window)
@@ -326,13 +326,13 @@
 				Slots:      seen.Slots,
 				InFlight:   seen.InFlight,
 				Queued:     seen.Queued,
-				Until:      verdict.Until,
+				Until:      verdict.ValidUntil,
 			})
 		}
 	}
 }
 
-func (b *Builder) addPlain(s *Snapshot, w groups.Witnesses, now time.Time, window time.Duration) {
+func (b *Builder) addPlain(s *Snapshot, w groups.ProbeResults, now time.Time, window time.Duration) {
 	byPool := make(map[string][]platform.Member)
 	for _, m := range s.Members {
 		byPool[m.Pool] = append(byPool[m.Pool], m)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -50,7 +50,7 @@
 mutant "a changed group keeps its generation" internal/groups/decide.go \
   's/g\.Generation = d\.next\.Version/_ = g/' ./internal/groups TestPlanKeepsInvariants
 mutant "a lost VM is replaced without a grace time" internal/groups/decide.go \
-  's/return len\(inc\.lost\) == 0 \|\| inc\.shortestMissing >= d\.in\.Estimates\.Grace/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
+  's/return len\(inc\.lost\) == 0 \|\| inc\.shortestMissing >= d\.in\.Estimates\.GracePeriod/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
 mutant "an older version is adopted" internal/item/item.go \
   's/if ok && old\.item\.Version >= it\.Version \{/if false {/' ./internal/item TestNeverReverts
 mutant "a deleted row stays in force" internal/view/view.go \
@@ -336,7 +336,7 @@
 mutant "what came since an old list is left out" internal/feed/fleet.go \
   's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestSourceOutOfTouchStillHelps
 mutant "a list is given only while its proof is young" internal/fleet/recent.go \
-  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
+  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.VerifiedAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
 mutant "duties fall to the first by ID" internal/cluster/topology.go \
   's/func FirstForDuty\(a, b Record\) int \{/func FirstForDuty(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
 mutant "the first by ID are followed" internal/cluster/topology.go \
--- a/test/policy/bench/groups.go
+++ b/test/policy/bench/groups.go
@@ -122,7 +122,7 @@
 func (f *field) decide(now time.Duration) {
 	in := groups.Input{
 		Plan:        f.plan,
-		Wants:       f.wants(),
+		Specs:       f.wants(),
 		VMs:         make(map[string]groups.VM),
 		RetiringFor: make(map[string]time.Duration),
 		Estimates:   f.estimates(),
@@ -149,7 +149,7 @@
 	}
 }
 
-func (f *field) wants() []groups.Want {
+func (f *field) wants() []groups.ReplicaSpec {
 	down, stranded := f.rows.Downtime, f.rows.Stranded
 	switch f.rule {
 	case SpareElseWait:
@@ -157,11 +157,11 @@
 	case DissolveAlways:
 		down, stranded = 0.001, 1
 	}
-	out := []groups.Want{{Row: "large", Service: "a", Pool: "p", Size: 8, Replicas: f.rows.Large,
+	out := []groups.ReplicaSpec{{Row: "large", Service: "a", Pool: "p", Size: 8, Replicas: f.rows.Large,
 		DowntimeWeight: down, StrandedWeight: stranded, LoadTime: loadTime}}
 	if f.rows.Small > 0 {
 		// A small replica is worth a quarter of a large one.
-		out = append(out, groups.Want{Row: "small", Service: "b", Pool: "p", Size: 4, Replicas: f.rows.Small,
+		out = append(out, groups.ReplicaSpec{Row: "small", Service: "b", Pool: "p", Size: 4, Replicas: f.rows.Small,
 			DowntimeWeight: down / 4, StrandedWeight: stranded, LoadTime: loadTime})
 	}
 	return out
@@ -170,7 +170,7 @@
 func (f *field) estimates() groups.Estimates {
 	e := groups.DefaultEstimates
 	if f.rule == AlwaysWait {
-		e.Grace = 100 * time.Hour
+		e.GracePeriod = 100 * time.Hour
 	}
 	return e
 }
