--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -244,8 +244,8 @@
 	}
 }
 
-// apply applies one change and reports whether it changed anything. A relayed change is
-// no sign of a heartbeat, and a relayed removal takes effect at once, as the other node
+// apply applies one change and reports whether it changed anything. A relayed change
+// doesn't count as a heartbeat. A relayed removal takes effect at once, as the other node
 // has already waited for the entry to reappear after an outage.
 func (d *Directory) apply(c Change, relayed bool) bool {
 	switch {
--- a/internal/groups/eligible.go
+++ b/internal/groups/eligible.go
@@ -65,9 +65,9 @@
 	return out
 }
 
-// checkMember checks one VM of the group; it returns Serving and when the VM's
-// newest answered probe was sent if the VM doesn't keep the group from receiving
-// requests.
+// checkMember checks one VM of the group. It returns Serving and when the VM's
+// newest answered probe was sent, or the reason why the group must not receive
+// requests because of this VM.
 func checkMember(g Group, rank int, vm string, probes ProbeResults, leaving map[string]bool, now time.Time, window time.Duration) (Reason, time.Time) {
 	if vm == "" {
 		return EmptyRank, time.Time{}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -262,7 +262,7 @@
 // group of the model needs, with the number of loads and the total cost; members is
 // nil if there are too few VMs.
 func (d *decider) cheapestMembers(m catalog.Model, fabric string, withLoads bool) (members []string, loads int, cost float64) {
-	if kept := d.in.ReservedFor[fabric]; kept != "" && kept != m.Name {
+	if reserved := d.in.ReservedFor[fabric]; reserved != "" && reserved != m.Name {
 		return nil, 0, 0
 	}
 	type candidate struct {
