--- a/internal/director/dissolve.go
+++ b/internal/director/dissolve.go
@@ -46,7 +46,7 @@
 // unresponsive reports whether a head that is still listed neither responds nor renews its
 // entry.
 func (s *state) unresponsive(head *fleet.VM) bool {
-	return s.vm(head.ID).failures >= maxFailures && s.snapshot.Silent(head.ID) > minMissedHeartbeats*s.d.config.Heartbeat
+	return s.vm(head.ID).failures >= maxFailures && s.snapshot.UnresponsiveFor(head.ID) > minMissedHeartbeats*s.d.config.Heartbeat
 }
 
 // mustBeBroken reports whether the group has been incomplete for so long that its head, if it
--- a/internal/director/groups.go
+++ b/internal/director/groups.go
@@ -181,7 +181,7 @@
 // its progress.
 func (s *state) pollWhileSnapshotStale(now time.Time, vm *fleet.VM, m fleet.Membership) {
 	v := s.vm(vm.ID)
-	if now.Sub(s.snapshot.ProvenAt) < maxSnapshotAge || m.State == fleet.Open || v.callPending || now.Before(v.notBefore) {
+	if now.Sub(s.snapshot.VerifiedAt) < maxSnapshotAge || m.State == fleet.Open || v.callPending || now.Before(v.notBefore) {
 		return
 	}
 	v.callPending = true
--- a/internal/director/place.go
+++ b/internal/director/place.go
@@ -33,8 +33,8 @@
 	reserved := s.reservedVMs()
 	in := s.placementInput(now, domain, service, e, func(vm *fleet.VM) bool { return s.free(now, vm) && !reserved[vm.ID] })
 	in.JoinUnstaged = beforeTraffic
-	in.KeptFor = s.reservedFabrics(now)
-	in.LoadRoom, in.UrgentRoom = s.loadBudget(now, e, domain, beforeTraffic)
+	in.ReservedFor = s.reservedFabrics(now)
+	in.LoadBudget, in.UrgentLoadBudget = s.loadBudget(now, e, domain, beforeTraffic)
 	d := placement.Decide(in)
 	if len(d.Formations) > 0 || len(d.Dissolutions) > 0 {
 		in.Groups = s.predictGroupCounts(now, domain, service, e, beforeTraffic)
@@ -103,11 +103,11 @@
 		in := s.placementInput(now, other, service, e, s.unattached)
 		in.Groups, in.JoinUnstaged = counts, beforeTraffic
 		if beforeTraffic {
-			in.LoadRoom = unlimitedLoads
+			in.LoadBudget = unlimitedLoads
 		}
 		d := placement.Decide(in)
 		if s.expectsDecision(now, other, len(d.Formations)+len(d.Dissolutions) > 0) {
-			counts = d.After(in)
+			counts = d.GroupsAfter(in)
 		}
 	}
 	return counts
@@ -254,7 +254,7 @@
 		return true
 	case fleet.Joining, fleet.Ready:
 		model, ok := s.groupModel(g)
-		return ok && g.Whole(model.Size)
+		return ok && g.Complete(model.Size)
 	}
 	return false
 }
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -180,7 +180,7 @@
 		return false
 	}
 	model, ok := s.groupModel(g)
-	if !ok || !g.Whole(model.Size) {
+	if !ok || !g.Complete(model.Size) {
 		return false
 	}
 	for _, vm := range g.Members {
--- a/internal/director/world_test.go
+++ b/internal/director/world_test.go
@@ -404,7 +404,7 @@
 		renewedAt[id] = e.renewedAt
 	}
 	w.snapshot = fleet.NewSnapshot(vms, w.revision, w.now)
-	w.snapshot.Heard = renewedAt
+	w.snapshot.LastSeen = renewedAt
 }
 
 // servingGroups counts the complete groups whose head is open.
