--- a/internal/groups/decide.go
+++ b/internal/groups/decide.go
@@ -92,8 +92,8 @@
 	Wait Choice = "wait"
 	// Spare fills the vacancies of an incomplete group with spare VMs.
 	Spare Choice = "spare"
-	// Join fills the vacancies with the VMs of another incomplete group, which
-	// is dissolved.
+	// Join fills the vacancies with spare VMs and then with the healthy VMs of
+	// another incomplete group, which is dissolved.
 	Join Choice = "join"
 	// Dissolve removes an incomplete group; its VMs become spares.
 	Dissolve Choice = "dissolve"
@@ -145,7 +145,7 @@
 type decision struct {
 	in   Input
 	next *Plan
-	// specs holds the wanted replicas by row.
+	// specs maps each row of the groups sheet to its specification.
 	specs   map[string]ReplicaSpec
 	moves   []Move
 	changed bool
@@ -302,7 +302,7 @@
 }
 
 // repairIncomplete carries out the cheapest choice for each incomplete group:
-// to wait, to use spares, to take the remaining VMs of another incomplete group
+// to wait, to use spares, to take the healthy VMs of another incomplete group
 // or to dissolve the group.
 func (d *decision) repairIncomplete() {
 	dissolved := make(map[string]bool)
@@ -411,10 +411,12 @@
 	return a
 }
 
-// gainOfReuse returns the downtime cost that is saved until the lost VMs are
-// replaced if the group's healthy VMs form a replica of another row; use is
-// false if no row can use them. VMs that another row takes do not return to the
-// group.
+// gainOfReuse returns the downtime cost that another row saves if the group is
+// dissolved and its healthy VMs, with the spares, form a missing replica of that
+// row: from the time that it has loaded until the lost VMs are replaced. use is
+// false if no row can use the VMs. VMs that another row takes do not return to
+// the group, so the caller counts the group's own downtime for the whole repair
+// time.
 func (d *decision) gainOfReuse(inc incomplete) (gain float64, use bool) {
 	free := len(d.spares(inc.spec.Pool)) + inc.healthy
 	for _, spec := range d.in.Specs {
@@ -461,6 +463,7 @@
 	return out
 }
 
+// healthyMembers returns the group's VMs, by rank, that are present and not leaving.
 func (d *decision) healthyMembers(g Group) []string {
 	var out []string
 	for _, name := range d.next.Members(g) {
--- a/internal/groups/decide_test.go
+++ b/internal/groups/decide_test.go
@@ -68,8 +68,8 @@
 
 // TestPlanKeepsInvariants checks for random sequences of losses, returns, leaving
 // VMs and changed rows that plans keep their invariants, that a VM is assigned
-// only if it reports no group, and that a group whose VMs change gets a new
-// generation.
+// only if it reports no group or is taken over from a group that is dissolved,
+// and that a group whose VMs change gets a new generation.
 func TestPlanKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(10)
--- a/internal/groups/eligible.go
+++ b/internal/groups/eligible.go
@@ -38,11 +38,11 @@
 }
 
 // Eligible reports whether the group may receive requests now: it is active,
-// and all of its VMs answered a probe sent within the window and reported to be
-// ready and of this group, generation, size and their rank in the plan. The plan
-// alone is not sufficient, since orders can be late, lost or ignored; therefore
-// the engines' own reports count. leaving holds the VMs that must receive no new
-// requests.
+// and all of its VMs answered a probe sent within the window and reported that
+// they are ready, with this group, its generation and size, and their rank in the
+// plan. The plan alone is not sufficient, since orders can be late, lost or
+// ignored; therefore the engines' own reports count. leaving holds the VMs that
+// must receive no new requests.
 func Eligible(p *Plan, g Group, probes ProbeResults, leaving map[string]bool, now time.Time, window time.Duration) Eligibility {
 	if g.Phase != Active {
 		return Eligibility{Reason: NotActive}
--- a/internal/groups/plan.go
+++ b/internal/groups/plan.go
@@ -21,7 +21,7 @@
 type Phase string
 
 const (
-	// Active groups receive requests once all of their VMs report to be ready.
+	// Active groups receive requests once all of their VMs report that they are ready.
 	Active Phase = "active"
 	// Retiring groups receive no new requests; their VMs are released when idle.
 	Retiring Phase = "retiring"
