--- a/internal/placement/copies.go
+++ b/internal/placement/copies.go
@@ -55,7 +55,8 @@
 	copying bool
 }
 
-// costServing is the additional cost of a serving VM: free VMs get a copy first.
+// costServing is the additional cost of a copy on a serving VM. It is lower than
+// costLoseCopy: free VMs get a copy first, except those that lose one by it.
 const costServing = 5
 
 // nextUrgentStaging returns the next copy for the first model in order of supply
@@ -217,11 +218,11 @@
 	return out
 }
 
-// prefetchGroups bounds the prefetched copies of a model on VMs that serve other models, in groups of the
-// model. These VMs can switch to the model at once, and further copies follow while they join.
+// prefetchGroups is how many groups of a model the VMs that serve other models may hold prefetched copies for.
+// These VMs can switch to the model at once, and further copies follow while they join.
 const prefetchGroups = 2
 
-// maxEarlyPrefetch bounds the same copies, in VMs, before the first requests arrive. Loads are fast and cost
+// maxEarlyPrefetch bounds the same copies, as a number of VMs, before the first requests arrive. Loads are fast and cost
 // nothing then, but more copies would not complete in time and would continue when they do cost.
 const maxEarlyPrefetch = 128
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -180,7 +180,8 @@
 
 // reserveMargin is the ratio of a model's supply to that of the worst-supplied
 // model above which free VMs are reserved for the latter: a VM that joins a group
-// of another model may lose its copy.
+// of another model may lose its copy. canLoseCopy compares the models' supplies by the
+// same ratio.
 const reserveMargin = 1.3
 
 // reserveFree reports whether free VMs are reserved instead of forming one more
@@ -246,15 +247,16 @@
 
 // Relative costs for a VM to join a group of a model. Only their order matters: a
 // VM whose last group ran the model is taken before one whose host has a copy, and
-// one that loses no copy before one that loses another model's copy. A copy of the
-// model of the VM's last group doesn't count as lost, since joining a group of that
-// model again needs no copy.
+// one that loses no copy before one that loses another model's copy, for which
+// costLoseCopy is added to costLoad. A copy of the model of the VM's last group
+// doesn't count as lost, since joining a group of that model again needs no copy.
 const (
 	costLastModel = 0
 	costStaged    = 1
 	costLoad      = 100
 	costLoseCopy  = 10
-	// costCopying is the cost of a VM whose host is copying a model.
+	// costCopying is the cost of a VM whose host is copying any model. Such a VM joins
+	// no group, unless its last group ran the same model.
 	costCopying = 1000
 )
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestCopiesGoWhereAGroupIsPossible checks that a copy in a fabric domain with enough
-// VMs for a group takes precedence over one where fewer copies but also VMs are
-// missing.
+// TestCopiesGoWhereAGroupIsPossible checks that the next copy goes to a fabric domain
+// with enough VMs for a group, although fewer copies are missing in another one, which
+// has too few VMs.
 func TestCopiesGoWhereAGroupIsPossible(t *testing.T) {
 	in := short(map[string]int{"big": 1, "small": 9})
 	for i := range 3 {
@@ -195,9 +195,8 @@
 }
 
 // TestServingVMsGetWhatAShortModelLacks checks a fabric domain whose VMs returned with
-// copies of one model only: its groups of two get copies of the other model until
-// those for one group have started, also beyond the failure domain's own part of the
-// loads.
+// copies of one model only: its serving VMs get as many copies of the other model as
+// one group needs, although these exceed LoadBudget, since UrgentLoadBudget allows them.
 func TestServingVMsGetWhatAShortModelLacks(t *testing.T) {
 	in := short(map[string]int{"big": 3, "small": 9})
 	in.UrgentLoadBudget = 6
@@ -219,8 +218,8 @@
 	}
 }
 
-// TestOnlyCopyIsKept checks that a host keeps its only copy if that model is supplied
-// hardly better than the one that needs a copy.
+// TestOnlyCopyIsKept checks that a host's only copy isn't replaced by one of another
+// model unless the first model is supplied clearly better than the other.
 func TestOnlyCopyIsKept(t *testing.T) {
 	in := short(map[string]int{"big": 4, "small": 5})
 	in.Free = []VM{{ID: "0", Fabric: "a", Staged: []string{"small"}}}
