--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -78,7 +78,7 @@
 	recent   *recentChanges
 	onChange []func(*Snapshot)
 
-	// leaving holds the VMs that announced themselves that they leave.
+	// leaving holds the VMs that have themselves announced that they leave.
 	leaving leavingVMs
 
 	running wait.Loop
--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -6,7 +6,8 @@
 // another incarnation.
 const maxLeaving = 4096
 
-// leavingVMs holds the incarnations of VMs that announced themselves that they leave, regardless of their entries.
+// leavingVMs holds the incarnations of VMs that have themselves announced that they leave, whatever their
+// entries show.
 type leavingVMs struct {
 	mu sync.Mutex
 	// born maps the ID of each VM to the start time of the leaving incarnation.
@@ -43,8 +44,8 @@
 }
 
 // mark replaces the entries of leaving VMs by ones that are draining, and forgets incarnations that have been
-// followed by another. A VM that is not listed is remembered while at most half of maxLeaving are, as its entry
-// may reappear.
+// followed by another. A VM that is not listed is remembered, as its entry may reappear, unless more than half
+// of maxLeaving VMs are remembered.
 func (l *leavingVMs) mark(vms map[string]*VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/outage.go
+++ b/internal/fleet/outage.go
@@ -11,9 +11,9 @@
 	// platform is unreachable, and so the maximum delay until its recovery is detected.
 	// The backoff's bound and the calls' timeout keep within it.
 	probeInterval = 800 * time.Millisecond
-	// minOutage is how much longer than a watch's wait the list must have been
-	// unverified for entries to have expired: a VM's entry expires after three missed
-	// heartbeats.
+	// minOutage, added to a watch's wait, is the shortest time without verification
+	// after which missing entries are retained. In a shorter one none expires because
+	// of the outage: a VM's entry expires after three missed heartbeats.
 	minOutage = 1500 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 	// failedAt is when the latest failed call was sent; zero after a successful one. The
 	// platform became reachable again later than that.
 	failedAt time.Time
-	// retainUntil is until when missing entries are retained.
+	// retainUntil is the time until which missing entries are retained.
 	retainUntil time.Time
 }
 
--- a/internal/fleet/recent.go
+++ b/internal/fleet/recent.go
@@ -19,7 +19,7 @@
 	// pending holds changes that are not published yet.
 	pending []Change
 	changes []revisedChange
-	// floor is the revision since which all changes are available.
+	// floor is the lowest revision after which all changes are still available.
 	floor      uint64
 	revision   uint64
 	verifiedAt time.Time
