--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -145,7 +145,7 @@
 	}
 	for _, row := range snapshot.Wants {
 		if row.Fabric == fabric {
-			in.Wants = append(in.Wants, replicaSpec(row))
+			in.Specs = append(in.Specs, replicaSpec(row))
 		}
 	}
 	for name, m := range snapshot.Members {
@@ -174,8 +174,8 @@
 	return groups.NewPlan(failureDomain, fabric)
 }
 
-func replicaSpec(row view.Want) groups.Want {
-	return groups.Want{
+func replicaSpec(row view.Want) groups.ReplicaSpec {
+	return groups.ReplicaSpec{
 		Row:            row.Name,
 		Service:        row.Service,
 		Pool:           row.Pool,
@@ -286,7 +286,7 @@
 	if plan.Version == 0 {
 		return
 	}
-	var waiting []groups.Loading
+	var waiting []groups.PendingLoad
 	orders := make(map[string]engine.Order)
 	for name, m := range snapshot.Members {
 		probe, ok := s.k.registry.Get(name)
@@ -299,7 +299,7 @@
 		case matches && (probe.Ready || expected.Group == ""):
 		case expected.Group != "":
 			orders[name] = expected
-			waiting = append(waiting, groups.Loading{VM: name, Group: expected.Group, Begun: matches || s.orderPending(now, name)})
+			waiting = append(waiting, groups.PendingLoad{VM: name, Group: expected.Group, Started: matches || s.orderPending(now, name)})
 		case s.poolRunsModels(snapshot, m.Pool):
 			s.dispatchOrder(now, name, m.Address, expected)
 		}
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -123,7 +123,7 @@
 // Build returns the snapshot at now. A row, plan or membership list that cannot be decoded leaves
 // its last valid version in force and is reported once per version. Drain orders and node records
 // that cannot be decoded are left out; the former are reported whenever any item has changed.
-func (b *Builder) Build(results groups.Witnesses, now time.Time, window time.Duration) (*Snapshot, []Fault) {
+func (b *Builder) Build(results groups.ProbeResults, now time.Time, window time.Duration) (*Snapshot, []Fault) {
 	errs := b.refresh()
 	s := *b.base
 	s.Services = make(map[string]Service, len(b.base.Services))
@@ -316,7 +316,7 @@
 }
 
 // addGroupUpstreams adds the head of each group that is eligible for work.
-func (b *Builder) addGroupUpstreams(s *Snapshot, results groups.Witnesses, now time.Time, window time.Duration) {
+func (b *Builder) addGroupUpstreams(s *Snapshot, results groups.ProbeResults, now time.Time, window time.Duration) {
 	for _, p := range s.Plans {
 		for _, g := range p.Groups {
 			verdict := groups.Eligible(p, g, results, s.Leaving, now, window)
@@ -333,14 +333,14 @@
 				Slots:      probe.Slots,
 				InFlight:   probe.InFlight,
 				Queued:     probe.Queued,
-				Until:      verdict.Until,
+				Until:      verdict.ValidUntil,
 			})
 		}
 	}
 }
 
 // addPlainUpstreams adds the eligible VMs of plain services.
-func (b *Builder) addPlainUpstreams(s *Snapshot, results groups.Witnesses, now time.Time, window time.Duration) {
+func (b *Builder) addPlainUpstreams(s *Snapshot, results groups.ProbeResults, now time.Time, window time.Duration) {
 	byPool := make(map[string][]platform.Member)
 	for _, m := range s.Members {
 		byPool[m.Pool] = append(byPool[m.Pool], m)
