--- a/internal/control/account.go
+++ b/internal/control/account.go
@@ -18,7 +18,7 @@
 	seen := make(map[string]bool)
 	for _, p := range snapshot.Plans {
 		for _, g := range p.Groups {
-			verdict := groups.Eligible(p, g, s.k.registry, snapshot.Leaving, now, s.k.config.Window)
+			verdict := groups.Eligible(p, g, s.k.registry, snapshot.Leaving, now, s.k.config.PresenceWindow)
 			seen[g.ID] = true
 			if verdict.Reason == groups.Serving {
 				delete(s.downSince, g.ID)
@@ -35,7 +35,7 @@
 			delete(s.downSince, id)
 		}
 	}
-	for _, row := range snapshot.Wants {
+	for _, row := range snapshot.GroupRows {
 		down += max(row.Replicas-len(servingGroups(snapshot, row)), 0)
 	}
 	s.downSeconds += float64(down) * elapsed
@@ -47,7 +47,7 @@
 }
 
 // servingGroups lists the IDs of the serving groups of one row.
-func servingGroups(snapshot *view.Snapshot, row view.Want) []string {
+func servingGroups(snapshot *view.Snapshot, row view.GroupRow) []string {
 	var out []string
 	for _, u := range snapshot.Services[row.Service].Upstreams {
 		for _, p := range snapshot.Plans {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -53,10 +53,10 @@
 	ExchangeInterval    time.Duration
 	MembersInterval     time.Duration
 	// MaxLoading is the maximum number of VMs of a fabric domain that load at the same time.
-	MaxLoading int
-	WatchWait  time.Duration
-	Window     time.Duration
-	Estimates  groups.Estimates
+	MaxLoading     int
+	WatchWait      time.Duration
+	PresenceWindow time.Duration
+	Estimates      groups.Estimates
 }
 
 // Parts holds the components that the daemon uses.
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -80,7 +80,7 @@
 // fabrics returns the fabric domains that a groups row or a plan names.
 func (s *state) fabrics(snapshot *view.Snapshot) map[string]bool {
 	out := make(map[string]bool)
-	for _, row := range snapshot.Wants {
+	for _, row := range snapshot.GroupRows {
 		out[row.Fabric] = true
 	}
 	for _, p := range snapshot.Plans {
@@ -143,7 +143,7 @@
 		RetiringFor: make(map[string]time.Duration),
 		Estimates:   s.k.config.Estimates,
 	}
-	for _, row := range snapshot.Wants {
+	for _, row := range snapshot.GroupRows {
 		if row.Fabric == fabric {
 			in.Specs = append(in.Specs, replicaSpec(row))
 		}
@@ -174,7 +174,7 @@
 	return groups.NewPlan(failureDomain, fabric)
 }
 
-func replicaSpec(row view.Want) groups.ReplicaSpec {
+func replicaSpec(row view.GroupRow) groups.ReplicaSpec {
 	return groups.ReplicaSpec{
 		Row:            row.Name,
 		Service:        row.Service,
@@ -290,7 +290,7 @@
 	orders := make(map[string]engine.Order)
 	for name, m := range snapshot.Members {
 		probe, ok := s.k.registry.Get(name)
-		if m.Fabric != fabric || !ok || !probe.Fresh(now, s.k.config.Window) {
+		if m.Fabric != fabric || !ok || !probe.Fresh(now, s.k.config.PresenceWindow) {
 			continue
 		}
 		expected := orderFor(plan, name, snapshot)
@@ -312,7 +312,7 @@
 // groupWeights maps each group of the plan to its row's downtime weight.
 func (s *state) groupWeights(snapshot *view.Snapshot, p *groups.Plan) map[string]float64 {
 	byRow := make(map[string]float64)
-	for _, row := range snapshot.Wants {
+	for _, row := range snapshot.GroupRows {
 		byRow[row.Name] = row.DowntimeWeight
 	}
 	out := make(map[string]float64, len(p.Groups))
@@ -333,7 +333,7 @@
 
 // poolRunsModels reports whether a pool's VMs run models. VMs of plain services get no orders.
 func (s *state) poolRunsModels(snapshot *view.Snapshot, pool string) bool {
-	for _, row := range snapshot.Wants {
+	for _, row := range snapshot.GroupRows {
 		if row.Pool == pool {
 			return true
 		}
--- a/internal/control/probe.go
+++ b/internal/control/probe.go
@@ -70,7 +70,7 @@
 // backupLoop probes the VMs for which this process is the backup prober. Its interval leaves
 // half of the presence window for the results to reach the entries.
 func (k *Control) backupLoop(ctx context.Context) {
-	interval := max(k.config.ProbeInterval, k.config.Window/2)
+	interval := max(k.config.ProbeInterval, k.config.PresenceWindow/2)
 	k.probeEvery(ctx, interval, func(d *tickResult) []platform.Member { return d.backups })
 }
 
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -88,7 +88,7 @@
 		}
 		return connect.NewResponse(out), nil
 	}
-	local := k.localProbes.recent(now.Add(-k.config.Window))
+	local := k.localProbes.recent(now.Add(-k.config.PresenceWindow))
 	out.Witnesses = wire.WitnessTable(k.registry.Sorted(func(vm string) bool { return local[vm] }), now, m.GetWitnessEpoch())
 	out.Entries = d.reportedDemand
 	return connect.NewResponse(out), nil
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -195,7 +195,7 @@
 
 // tick evaluates the control state, publishes the result and plans.
 func (s *state) tick(now time.Time) {
-	snapshot, decodeErrors := s.builder.Build(s.k.registry, now, s.k.config.Window)
+	snapshot, decodeErrors := s.builder.Build(s.k.registry, now, s.k.config.PresenceWindow)
 	for _, f := range decodeErrors {
 		s.k.parts.Log.Emit(event.RowUnreadable).Str("key", f.Key).Err(f.Err).Send()
 	}
@@ -332,7 +332,7 @@
 // updateMissing records whether one VM is absent, and logs when that changes.
 func (s *state) updateMissing(now time.Time, vm string) {
 	probe, ok := s.k.registry.Get(vm)
-	present := ok && probe.Fresh(now, s.k.config.Window)
+	present := ok && probe.Fresh(now, s.k.config.PresenceWindow)
 	_, missing := s.missingSince[vm]
 	switch {
 	case present && missing:
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -11,7 +11,7 @@
 
 // status describes the failure domain as seen by this process.
 func (s *state) status(now time.Time) *marbleroadv1.StatusResponse {
-	snapshot, _ := s.builder.Build(s.k.registry, now, s.k.config.Window)
+	snapshot, _ := s.builder.Build(s.k.registry, now, s.k.config.PresenceWindow)
 	out := &marbleroadv1.StatusResponse{
 		NodeId:            s.k.config.NodeID,
 		FailureDomain:     s.k.config.FailureDomain,
@@ -36,7 +36,7 @@
 
 // groupStatus describes one planned group.
 func (s *state) groupStatus(now time.Time, snapshot *view.Snapshot, p *groups.Plan, g groups.Group) *marbleroadv1.GroupStatus {
-	verdict := groups.Eligible(p, g, s.k.registry, snapshot.Leaving, now, s.k.config.Window)
+	verdict := groups.Eligible(p, g, s.k.registry, snapshot.Leaving, now, s.k.config.PresenceWindow)
 	out := &marbleroadv1.GroupStatus{
 		FailureDomain: s.k.config.FailureDomain,
 		Fabric:        p.Fabric,
@@ -60,7 +60,7 @@
 // unformedReplicas lists the replicas that groups rows require but no plan contains.
 func (s *state) unformedReplicas(snapshot *view.Snapshot) []*marbleroadv1.GroupStatus {
 	var out []*marbleroadv1.GroupStatus
-	for _, row := range snapshot.Wants {
+	for _, row := range snapshot.GroupRows {
 		planned := 0
 		for _, p := range snapshot.Plans {
 			for _, g := range p.Groups {
@@ -117,7 +117,7 @@
 	n := uint32(0)
 	for vm, m := range snapshot.Members {
 		probe, ok := s.k.registry.Get(vm)
-		if ok && probe.Fresh(now, s.k.config.Window) && !assigned[vm] && !snapshot.Leaving[vm] && s.poolRunsModels(snapshot, m.Pool) {
+		if ok && probe.Fresh(now, s.k.config.PresenceWindow) && !assigned[vm] && !snapshot.Leaving[vm] && s.poolRunsModels(snapshot, m.Pool) {
 			n++
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -311,7 +311,7 @@
 		MembersInterval:     s.Control.MembersInterval,
 		MaxLoading:          s.Control.MaxLoading,
 		WatchWait:           s.Platform.WatchWait,
-		Window:              s.Presence.Window,
+		PresenceWindow:      s.Presence.Window,
 		Estimates:           estimates,
 	}, control.Parts{
 		Log:      b.log,
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -135,11 +135,11 @@
 	operators.Take(inspect.ReleasePath, inspect.Release(suspects))
 	return assemble(
 		startup.NewWatch(b.log, b.metrics,
-			startup.Part{Name: "configuration", There: func() bool { return keeper.Catalog() != nil }},
-			startup.Part{Name: "upstreams", There: func() bool { return directory.Snapshot() != nil }},
-			startup.Part{Name: "nodes", There: func() bool { return nodes.Counted() > 0 }},
-			startup.Part{Name: "keys", There: server.KeysProven},
-			startup.Part{Name: "groups", There: server.HasGroups},
+			startup.Requirement{Name: "configuration", Met: func() bool { return keeper.Catalog() != nil }},
+			startup.Requirement{Name: "upstreams", Met: func() bool { return directory.Snapshot() != nil }},
+			startup.Requirement{Name: "nodes", Met: func() bool { return nodes.Counted() > 0 }},
+			startup.Requirement{Name: "keys", Met: server.KeysProven},
+			startup.Requirement{Name: "groups", Met: server.HasGroups},
 		),
 		operators,
 		archive,
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -57,7 +57,7 @@
 	if !ok {
 		return out
 	}
-	name := view.SubjectOf(c.team.Name, c.service.Name)
+	name := view.LimitSubject(c.team.Name, c.service.Name)
 	return append(out, subject{
 		name:  name,
 		limit: admission.Limit{Rate: share.of(name, row.Rate), Concurrency: row.Concurrency},
--- a/internal/routing/rest_test.go
+++ b/internal/routing/rest_test.go
@@ -11,7 +11,7 @@
 func TestRestingUpstreamIsNotChosen(t *testing.T) {
 	now := time.Now()
 	tracker := NewTracker()
-	ups := []view.Upstream{{ID: "a", Slots: 1, Until: now.Add(time.Minute)}, {ID: "b", Slots: 1, InFlight: 8, Until: now.Add(time.Minute)}}
+	ups := []view.Upstream{{ID: "a", Slots: 1, EligibleUntil: now.Add(time.Minute)}, {ID: "b", Slots: 1, InFlight: 8, EligibleUntil: now.Add(time.Minute)}}
 	chosen := func(at time.Time) string {
 		i := DefaultPolicy(time.Second).Choose(Request{Now: at}, tracker.Candidates(at, ups, nil))
 		if i < 0 {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -60,7 +60,7 @@
 
 // Keep implements Filter.
 func (TrustFilter) Keep(r Request, c Candidate) bool {
-	return r.Now.Before(c.Until) && !r.Tried[c.ID]
+	return r.Now.Before(c.EligibleUntil) && !r.Tried[c.ID]
 }
 
 // RestFilter keeps upstreams that have not asked this entry for rest.
--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -27,11 +27,11 @@
 	lateAfter        = 30 * time.Second
 )
 
-// Part is a requirement that a node must meet before it can serve.
-type Part struct {
+// Requirement is a named condition that a node must meet before it can serve.
+type Requirement struct {
 	Name string
-	// There reports whether the requirement is met. It is called on the watch's goroutine.
-	There func() bool
+	// Met reports whether the requirement is met. It is called on the watch's goroutine.
+	Met func() bool
 }
 
 // Progress records when each requirement was first met. Its methods read no clock.
@@ -53,9 +53,9 @@
 	return p
 }
 
-// Seen records that a requirement is met. Only the first time counts, also if it is not met for
+// MarkMet records that a requirement is met. Only the first time counts, also if it is not met for
 // a while afterwards.
-func (p *Progress) Seen(i int, now time.Time) {
+func (p *Progress) MarkMet(i int, now time.Time) {
 	if p.metAfter[i] < 0 {
 		p.metAfter[i] = now.Sub(p.startedAt)
 	}
@@ -72,9 +72,9 @@
 	return out
 }
 
-// Due reports whether a log line about missing requirements is due. If so, the next one is due
+// LogDue reports whether a log line about missing requirements is due. If so, the next one is due
 // an interval later.
-func (p *Progress) Due(now time.Time) bool {
+func (p *Progress) LogDue(now time.Time) bool {
 	interval := lineInterval
 	if now.Sub(p.startedAt) > lateAfter {
 		interval = lateLineInterval
@@ -88,20 +88,20 @@
 
 // Watch checks the requirements until each has been met once. It implements kernel.Service.
 type Watch struct {
-	parts    []Part
-	progress *Progress
-	log      *event.Logger
-	metrics  *metrics.Registry
-	running  wait.Loop
+	requirements []Requirement
+	progress     *Progress
+	log          *event.Logger
+	metrics      *metrics.Registry
+	running      wait.Loop
 }
 
 // NewWatch returns a watch over the requirements of a daemon that starts now.
-func NewWatch(log *event.Logger, registry *metrics.Registry, parts ...Part) *Watch {
-	names := make([]string, len(parts))
-	for i, part := range parts {
-		names[i] = part.Name
+func NewWatch(log *event.Logger, registry *metrics.Registry, requirements ...Requirement) *Watch {
+	names := make([]string, len(requirements))
+	for i, r := range requirements {
+		names[i] = r.Name
 	}
-	return &Watch{parts: parts, progress: NewProgress(clock.Now(), names), log: log, metrics: registry}
+	return &Watch{requirements: requirements, progress: NewProgress(clock.Now(), names), log: log, metrics: registry}
 }
 
 // Name implements kernel.Service.
@@ -128,7 +128,7 @@
 			w.complete()
 			return
 		}
-		if w.progress.Due(now) {
+		if w.progress.LogDue(now) {
 			w.log.Emit(event.StartIncomplete).Str("missing", strings.Join(missing, ",")).
 				Dur("since_start_ms", now.Sub(w.progress.startedAt)).Send()
 		}
@@ -140,10 +140,10 @@
 
 // check records the requirements that are now met and sets their metrics.
 func (w *Watch) check(now time.Time) {
-	for i, part := range w.parts {
-		if w.progress.metAfter[i] < 0 && part.There() {
-			w.progress.Seen(i, now)
-			w.metrics.Set("start."+part.Name+"_ms", w.progress.metAfter[i].Milliseconds())
+	for i, r := range w.requirements {
+		if w.progress.metAfter[i] < 0 && r.Met() {
+			w.progress.MarkMet(i, now)
+			w.metrics.Set("start."+r.Name+"_ms", w.progress.metAfter[i].Milliseconds())
 		}
 	}
 }
@@ -151,8 +151,8 @@
 // complete logs how long each requirement took.
 func (w *Watch) complete() {
 	line := w.log.Emit(event.StartComplete)
-	for i, part := range w.parts {
-		line = line.Dur(part.Name+"_ms", w.progress.metAfter[i])
+	for i, r := range w.requirements {
+		line = line.Dur(r.Name+"_ms", w.progress.metAfter[i])
 	}
 	line.Send()
 }
--- a/internal/startup/startup_test.go
+++ b/internal/startup/startup_test.go
@@ -18,8 +18,8 @@
 func TestProgressOfAStart(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p := NewProgress(start, []string{"configuration", "upstreams"})
-	p.Seen(1, start.Add(300*time.Millisecond))
-	p.Seen(1, start.Add(400*time.Millisecond))
+	p.MarkMet(1, start.Add(300*time.Millisecond))
+	p.MarkMet(1, start.Add(400*time.Millisecond))
 	if got := p.Missing(); !slices.Equal(got, []string{"configuration"}) {
 		t.Errorf("missing %v", got)
 	}
@@ -28,7 +28,7 @@
 	}
 	lines := 0
 	for now := start; now.Before(start.Add(5 * time.Minute)); now = now.Add(checkInterval) {
-		if p.Due(now) {
+		if p.LogDue(now) {
 			lines++
 		}
 	}
@@ -48,8 +48,8 @@
 	registry := metrics.NewRegistry()
 	var checks atomic.Int32
 	w := NewWatch(log, registry,
-		Part{"configuration", func() bool { return true }},
-		Part{"upstreams", func() bool { return checks.Add(1) > 3 }})
+		Requirement{"configuration", func() bool { return true }},
+		Requirement{"upstreams", func() bool { return checks.Add(1) > 3 }})
 	w.loop(context.Background())
 	if got := out.String(); strings.Count(got, `"event":1015`) != 1 || !strings.Contains(got, "upstreams_ms") {
 		t.Errorf("lines %s", got)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -29,8 +29,8 @@
 	// InFlight and Queued are the upstream's own report; it lags behind.
 	InFlight int
 	Queued   int
-	// Until is when the probe results expire by which the upstream is eligible.
-	Until time.Time
+	// EligibleUntil is when the probe results expire by which the upstream is eligible.
+	EligibleUntil time.Time
 }
 
 // Team is a team's row with its name.
@@ -65,22 +65,22 @@
 	// Leaving holds the VMs that must get no new work.
 	Leaving map[string]bool
 	Plans   []*groups.Plan
-	// Wants are the groups rows of this failure domain.
-	Wants []Want
+	// GroupRows are the groups rows of this failure domain.
+	GroupRows []GroupRow
 	// Rows counts the live rows of the table.
 	Rows int
 	// Nodes are the records of entry VMs that are not retired.
 	Nodes []node.Record
 }
 
-// Want is a groups row with its name.
-type Want struct {
+// GroupRow is a groups row with its name.
+type GroupRow struct {
 	Name string
 	table.Group
 }
 
-// Fault describes an item that could not be decoded.
-type Fault struct {
+// DecodeError describes an item that could not be decoded.
+type DecodeError struct {
 	Key string
 	Err error
 }
@@ -123,7 +123,7 @@
 // Build returns the snapshot at now. A row, plan or membership list that cannot be decoded leaves
 // its last valid version in force and is reported once per version. Drain orders and node records
 // that cannot be decoded are left out; the former are reported whenever any item has changed.
-func (b *Builder) Build(results groups.ProbeResults, now time.Time, window time.Duration) (*Snapshot, []Fault) {
+func (b *Builder) Build(results groups.ProbeResults, now time.Time, window time.Duration) (*Snapshot, []DecodeError) {
 	errs := b.refresh()
 	s := *b.base
 	s.Services = make(map[string]Service, len(b.base.Services))
@@ -136,7 +136,7 @@
 }
 
 // refresh rebuilds the base from the items if any has changed.
-func (b *Builder) refresh() []Fault {
+func (b *Builder) refresh() []DecodeError {
 	sequence := b.items.Sequence()
 	if b.base != nil && b.sequence == sequence {
 		return nil
@@ -159,14 +159,14 @@
 	return errs
 }
 
-func (b *Builder) readRows(s *Snapshot) []Fault {
-	var errs []Fault
+func (b *Builder) readRows(s *Snapshot) []DecodeError {
+	var errs []DecodeError
 	for _, it := range b.items.List(item.TablePrefix) {
 		cached := b.rows[it.Key]
 		if cached.version != it.Version {
 			row, err := table.Decode(it.Value)
 			if err != nil {
-				errs = append(errs, Fault{Key: it.Key, Err: err})
+				errs = append(errs, DecodeError{Key: it.Key, Err: err})
 				row = cached.row
 			}
 			cached = cachedRow{version: it.Version, row: row}
@@ -190,11 +190,11 @@
 		s.Services[r.Name] = Service{Name: r.Name, Service: *r.Service}
 	case r.Limit != nil:
 		s.Limits[LimitKey{r.Limit.Team, r.Limit.Service}] = *r.Limit
-		s.addRate(SubjectOf(r.Limit.Team, r.Limit.Service), r.Limit.Rate)
+		s.addRate(LimitSubject(r.Limit.Team, r.Limit.Service), r.Limit.Rate)
 	case r.VM != nil && r.VM.Drain:
 		s.Leaving[r.Name] = true
 	case r.Group != nil && r.Group.FailureDomain == failureDomain:
-		s.Wants = append(s.Wants, Want{Name: r.Name, Group: *r.Group})
+		s.GroupRows = append(s.GroupRows, GroupRow{Name: r.Name, Group: *r.Group})
 	}
 }
 
@@ -205,25 +205,25 @@
 	}
 }
 
-// SubjectOf returns the subject of a team's limit at one service. The team's own name is the
+// LimitSubject returns the subject of a team's limit at one service. The team's own name is the
 // subject of its limit at all services.
-func SubjectOf(team, service string) string { return team + "/" + service }
+func LimitSubject(team, service string) string { return team + "/" + service }
 
 // MembersKey returns the key of a failure domain's membership list.
 func MembersKey(failureDomain string) string {
 	return item.MembersPrefix + failureDomain
 }
 
-func (b *Builder) readMembers(s *Snapshot) []Fault {
+func (b *Builder) readMembers(s *Snapshot) []DecodeError {
 	it, ok := b.items.Get(MembersKey(b.failureDomain))
 	if !ok {
 		return nil
 	}
-	var errs []Fault
+	var errs []DecodeError
 	if b.members.Version != it.Version {
 		var list platform.MemberList
 		if err := json.Unmarshal(it.Value, &list); err != nil {
-			errs = append(errs, Fault{Key: it.Key, Err: err})
+			errs = append(errs, DecodeError{Key: it.Key, Err: err})
 			list = b.members
 		}
 		list.Version = it.Version
@@ -253,12 +253,12 @@
 	return item.DrainPrefix + failureDomain + "/" + vm
 }
 
-func (b *Builder) readDrains(s *Snapshot) []Fault {
-	var errs []Fault
+func (b *Builder) readDrains(s *Snapshot) []DecodeError {
+	var errs []DecodeError
 	for _, it := range b.items.List(item.DrainPrefix + b.failureDomain + "/") {
 		var pending Drain
 		if err := json.Unmarshal(it.Value, &pending); err != nil {
-			errs = append(errs, Fault{Key: it.Key, Err: err})
+			errs = append(errs, DecodeError{Key: it.Key, Err: err})
 			continue
 		}
 		if pending.Stored {
@@ -275,14 +275,14 @@
 	return errs
 }
 
-func (b *Builder) readPlans(s *Snapshot) []Fault {
-	var errs []Fault
+func (b *Builder) readPlans(s *Snapshot) []DecodeError {
+	var errs []DecodeError
 	for _, it := range b.items.List(item.PlanPrefix + b.failureDomain + "/") {
 		cached := b.plans[it.Key]
 		if cached.version != it.Version {
 			plan, err := groups.Decode(it.Value)
 			if err != nil {
-				errs = append(errs, Fault{Key: it.Key, Err: err})
+				errs = append(errs, DecodeError{Key: it.Key, Err: err})
 				plan = cached.plan
 			}
 			cached = cachedPlan{version: it.Version, plan: plan}
@@ -295,14 +295,14 @@
 	return errs
 }
 
-func (b *Builder) readNodes(s *Snapshot) []Fault {
-	var errs []Fault
+func (b *Builder) readNodes(s *Snapshot) []DecodeError {
+	var errs []DecodeError
 	for _, it := range b.items.List(item.NodePrefix) {
 		cached := b.nodes[it.Key]
 		if cached.Version != it.Version {
 			rec, err := node.Decode(it.Value)
 			if err != nil {
-				errs = append(errs, Fault{Key: it.Key, Err: err})
+				errs = append(errs, DecodeError{Key: it.Key, Err: err})
 			}
 			rec.Version = it.Version
 			cached = rec
@@ -326,14 +326,14 @@
 			head := p.Members(g)[0]
 			probe, _ := results.Get(head)
 			s.addUpstream(g.Service, Upstream{
-				ID:         g.ID,
-				Address:    s.Members[head].Address,
-				Service:    g.Service,
-				Generation: g.Generation,
-				Slots:      probe.Slots,
-				InFlight:   probe.InFlight,
-				Queued:     probe.Queued,
-				Until:      verdict.ValidUntil,
+				ID:            g.ID,
+				Address:       s.Members[head].Address,
+				Service:       g.Service,
+				Generation:    g.Generation,
+				Slots:         probe.Slots,
+				InFlight:      probe.InFlight,
+				Queued:        probe.Queued,
+				EligibleUntil: verdict.ValidUntil,
 			})
 		}
 	}
@@ -355,13 +355,13 @@
 				continue
 			}
 			s.addUpstream(name, Upstream{
-				ID:       m.VM,
-				Address:  m.Address,
-				Service:  name,
-				Slots:    probe.Slots,
-				InFlight: probe.InFlight,
-				Queued:   probe.Queued,
-				Until:    probe.SentAt.Add(window),
+				ID:            m.VM,
+				Address:       m.Address,
+				Service:       name,
+				Slots:         probe.Slots,
+				InFlight:      probe.InFlight,
+				Queued:        probe.Queued,
+				EligibleUntil: probe.SentAt.Add(window),
 			})
 		}
 	}
--- a/test/policy/bench/routing.go
+++ b/test/policy/bench/routing.go
@@ -178,10 +178,10 @@
 	out := make([]view.Upstream, len(r.ups))
 	for i, u := range r.ups {
 		out[i] = view.Upstream{
-			ID:       entryName(i),
-			Slots:    r.fleet.Slots,
-			InFlight: u.reported,
-			Until:    now.Add(time.Hour),
+			ID:            entryName(i),
+			Slots:         r.fleet.Slots,
+			InFlight:      u.reported,
+			EligibleUntil: now.Add(time.Hour),
 		}
 	}
 	return out
