--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -3,54 +3,60 @@
 import "time"
 
 const (
-	// handover is how long a node waits before it uses a limit after it has come to be one of those
-	// that may: by then the node before it has heard of it.
-	handover = 1500 * time.Millisecond
-	// burstTime is the time whose requests a node may send at one moment, beside one.
-	burstTime = 250 * time.Millisecond
-	// mostReserve is the largest part of a request that can be kept for more urgent ones, mostBurst what one
-	// node may send at one moment, beside what burstTime allows.
-	mostReserve = 0.3
-	mostBurst   = 1 + mostReserve
+	// handoverDelay is how long a node waits before it uses a limit after it has become one of the
+	// limit's holders. By then the previous holder has learned of the change.
+	handoverDelay = 1500 * time.Millisecond
+	// burstWindow is the period whose share of requests a node may send at once, in addition to one
+	// request.
+	burstWindow = 250 * time.Millisecond
+	// maxReserve is the largest fraction of a request that can be kept in reserve for more urgent
+	// ones. maxBurst is how many requests one node may send at once, in addition to what burstWindow
+	// allows.
+	maxReserve = 0.3
+	maxBurst   = 1 + maxReserve
 )
 
-// limit is what is known of one VM's limit, and this node's use of it as a token bucket.
+// limit holds the newest report of one VM's limit, and the token bucket with which this node uses its
+// share of it.
 type limit struct {
-	// named is false once the VM names none any more; at is when that was heard, by whichever node.
-	named bool
-	rate  float64
-	at    time.Time
-	// changedAt is when this node learned what differs from before.
+	// active is false once the VM reports no limit any more. reportedAt is when a node, this or
+	// another, received that report from the VM.
+	active     bool
+	rate       float64
+	reportedAt time.Time
+	// changedAt is when this node learned of the last change of the limit.
 	changedAt time.Time
 
-	// own is this node's part of the rate, tokens what it may send at once as of refilledAt, heldSince is since when this node uses the limit; zero while it does not.
-	own        float64
-	tokens     float64
-	refilledAt time.Time
-	heldSince  time.Time
+	// localRate is this node's share of the rate in requests per second. tokens is what this node may
+	// send at once as of refilledAt. holderSince is the time since which this node has been a holder
+	// of the limit; it is zero while it is none.
+	localRate   float64
+	tokens      float64
+	refilledAt  time.Time
+	holderSince time.Time
 }
 
-// refill brings the tokens up to date and returns this node's rate.
+// refill adds the tokens of the time elapsed since the last refill and returns this node's rate.
 func (l *limit) refill(now time.Time, vm string, s Sharing) float64 {
 	rate := s.rate(vm, l.rate)
-	l.own = rate
+	l.localRate = rate
 	if rate <= 0 {
-		l.tokens, l.heldSince = 0, time.Time{}
+		l.tokens, l.holderSince = 0, time.Time{}
 		return 0
 	}
-	if l.heldSince.IsZero() {
-		l.heldSince, l.refilledAt, l.tokens = now, now.Add(handover), 0
+	if l.holderSince.IsZero() {
+		l.holderSince, l.refilledAt, l.tokens = now, now.Add(handoverDelay), 0
 	}
 	if elapsed := now.Sub(l.refilledAt); elapsed > 0 {
 		l.tokens += rate * elapsed.Seconds()
 		l.refilledAt = now
 	}
-	l.tokens = min(l.tokens, mostBurst+rate*burstTime.Seconds())
+	l.tokens = min(l.tokens, maxBurst+rate*burstWindow.Seconds())
 	return rate
 }
 
-// wait is how long it takes until there are so many tokens.
-func (l *limit) wait(now time.Time, tokens, rate float64) time.Duration {
+// waitFor returns how long it takes until the bucket holds the given number of tokens.
+func (l *limit) waitFor(now time.Time, tokens, rate float64) time.Duration {
 	missing := time.Duration((tokens - l.tokens) / rate * float64(time.Second))
 	return max(l.refilledAt.Sub(now), 0) + missing
 }
--- a/internal/backpressure/notice.go
+++ b/internal/backpressure/notice.go
@@ -1,27 +1,29 @@
-// Package backpressure keeps what upstream VMs say of their own condition in their answers, and decides
-// what it means for the next requests.
+// Package backpressure records what upstream VMs report of their own condition in their responses, and
+// decides what that means for the next requests.
 //
-// It answers the load pattern of an upstream in need before many nodes: it names what it still takes of
-// all of them together, and each node sees its own requests only. Where each kept to the limit by itself, or
-// to an equal part of it with a burst of one request, the upstream would get many times what it takes.
+// It handles overload of an upstream that serves many nodes. The upstream reports how many requests it
+// takes from all nodes together, while each node sees only its own requests. If each node applied the
+// limit by itself, or an equal share of it with a burst of one request, the upstream would get many
+// times what it takes.
 //
-// The package is pure: it has no clock, no locks, no randomness of its own and no input or output. A
-// condition belongs to one life of a VM and ends with it.
+// The package is pure: it has no clock, no locks, no randomness and no input or output. A condition
+// belongs to one incarnation of a VM and ends with it.
 package backpressure
 
 import "time"
 
-// Notice is what one answer of an upstream VM says of the VM's condition. The zero value says that
-// nothing ails it.
+// Signals holds what one response of an upstream VM reports of the VM's condition. The zero value
+// means that the VM is healthy.
 type Notice struct {
-	// Limited is true when the VM names a limit.
+	// Limited is true when the VM reports a limit.
 	Limited bool
-	// Limit is how many requests a second the VM takes from all nodes together.
+	// Limit is how many requests per second the VM takes from all nodes together.
 	Limit float64
-	// Refused is true when the answer turns its request away.
+	// Refused is true when the VM rejected the request.
 	Refused bool
-	// Rest is for how long the VM wants no request of this node; zero when it does not say.
+	// Backoff is how long this node must send no requests to the VM; zero when the VM does not ask for
+	// a backoff.
 	Rest time.Duration
-	// Leaving is true when the VM is about to end and wants no new request of anybody.
+	// Leaving is true when the VM is about to terminate and takes no new requests from any node.
 	Leaving bool
 }
--- a/internal/backpressure/rest.go
+++ b/internal/backpressure/rest.go
@@ -3,54 +3,57 @@
 import "time"
 
 const (
-	// LongestRest bounds a rest: then the VM is asked again, and may ask for more.
+	// MaxBackoff bounds a backoff. After it the VM gets a request again, and may ask for another
+	// backoff.
 	LongestRest = time.Hour
-	// trialTime is the time between two requests to a VM that has had its rest, until it takes one: all
-	// that wait would else come at once.
-	trialTime = time.Second
+	// probeInterval is the time between two requests to a VM whose backoff has expired, until it
+	// accepts one. Without it all waiting requests would be sent at once.
+	probeInterval = time.Second
 )
 
-// rest is what one VM asked this node for.
-type rest struct {
+// backoff tracks the backoff that one VM asked this node for.
+type backoff struct {
 	until time.Time
-	// onTrial is true from a rest on until the VM takes a request, triedAt when the newest was sent
-	// since; zero for none.
-	onTrial bool
-	triedAt time.Time
+	// probing is true from the start of a backoff until the VM accepts a request. probedAt is when the
+	// newest request was sent in that state; it is zero when none was sent.
+	probing  bool
+	probedAt time.Time
 }
 
-// heard takes an answer: one that turns its request away may ask for rest, any other ends the trial.
-func (r *rest) heard(now time.Time, n Notice) {
+// observe processes a response: one that rejects its request may start a backoff, any other ends the
+// probing once the backoff has expired.
+func (b *backoff) observe(now time.Time, n Notice) {
 	switch {
 	case n.Rest > 0:
-		r.onTrial, r.triedAt = true, time.Time{}
-		r.until = latest(r.until, now.Add(min(n.Rest, LongestRest)))
-	case !n.Refused && !now.Before(r.until):
-		r.onTrial = false
+		b.probing, b.probedAt = true, time.Time{}
+		b.until = latest(b.until, now.Add(min(n.Rest, LongestRest)))
+	case !n.Refused && !now.Before(b.until):
+		b.probing = false
 	}
 }
 
-// wait is how long the VM is still left alone.
-func (r *rest) wait(now time.Time) time.Duration {
-	if now.Before(r.until) {
-		return r.until.Sub(now)
+// remaining returns how long this node must still send nothing to the VM.
+func (b *backoff) remaining(now time.Time) time.Duration {
+	if now.Before(b.until) {
+		return b.until.Sub(now)
 	}
-	if !r.onTrial || r.triedAt.IsZero() {
+	if !b.probing || b.probedAt.IsZero() {
 		return 0
 	}
-	return max(r.triedAt.Add(trialTime).Sub(now), 0)
+	return max(b.probedAt.Add(probeInterval).Sub(now), 0)
 }
 
-// sent notes a request.
-func (r *rest) sent(now time.Time) {
-	if r.onTrial {
-		r.triedAt = now
+// recordSent records that a request is sent.
+func (b *backoff) recordSent(now time.Time) {
+	if b.probing {
+		b.probedAt = now
 	}
 }
 
-// known reports whether the rest still matters.
-func (r *rest) known(now time.Time) bool { return r.onTrial || now.Before(r.until) }
+// relevant reports whether the backoff still affects requests.
+func (b *backoff) relevant(now time.Time) bool { return b.probing || now.Before(b.until) }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/backpressure/sharing.go
+++ b/internal/backpressure/sharing.go
@@ -7,63 +7,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sharing is how a node sees the nodes that use the limits of a failure domain's VMs together.
+// Sharing describes, as one node sees it, the set of nodes that share the limits of a failure domain's
+// VMs.
 type Sharing struct {
-	// Self is this node.
+	// Self is the ID of this node.
 	Self string
-	// Nodes are those among which the holders of a limit are chosen, live or not; without this one it
-	// uses none of it.
+	// Nodes are the nodes among which the holders of a limit are chosen, whether live or not. A node
+	// that is not among them uses nothing of the limit.
 	Nodes []string
-	// Foreign is true when these are nodes of other failure domains, since none of the VMs' own is heard. It
-	// may only be cut off from them.
+	// Remote is true when Nodes belong to other failure domains, because no node of the VMs' own
+	// failure domain is reachable. Those nodes may be running behind a network partition.
 	Foreign bool
 }
 
 const (
-	// usedPart is the part of a limit that its holders use. The rest covers nodes that have joined and that
-	// the holders before them have not heard of.
-	usedPart = 0.9
-	// foreignPart is the part of a limit that another failure domain's node uses, beside holders that may
-	// go on behind a cut.
-	foreignPart = 0.25
-	// burstPart and sureBurst are how much at one moment the holders may send together: as many seconds'
-	// worth of the limit, and so many requests.
-	burstPart = 1
-	sureBurst = 1.5
-	// leastRate is what is sent at the least, requests a second: without requests nobody learns that
-	// the VM has recovered.
-	leastRate = 0.1
+	// usedFraction is the fraction of a limit that its holders use. The remainder covers nodes that
+	// have joined and that the previous holders have not learned of yet.
+	usedFraction = 0.9
+	// remoteFraction is the fraction of a limit that a node of another failure domain uses. Holders
+	// behind a network partition may use the limit at the same time.
+	remoteFraction = 0.25
+	// combinedBurstSeconds and combinedBurstRequests bound what all holders together may send at once: combinedBurstRequests requests,
+	// and the requests of combinedBurstSeconds seconds at the limit in addition.
+	combinedBurstSeconds  = 1
+	combinedBurstRequests = 1.5
+	// minRate is the lowest rate of requests per second. Without any requests no node learns that the
+	// VM has recovered.
+	minRate = 0.1
 )
 
-// rate is how many requests a second this node may send to a VM that takes limit of them.
+// rate returns how many requests per second this node may send to a VM that takes limit requests per
+// second.
 func (s Sharing) rate(vm string, limit float64) float64 {
 	holders := s.holders(vm, limit)
 	if !slices.Contains(holders, s.Self) {
 		return 0
 	}
-	part := usedPart
+	part := usedFraction
 	if s.Foreign {
-		part = foreignPart
+		part = remoteFraction
 	}
-	return max(limit*part, leastRate) / float64(len(holders))
+	return max(limit*part, minRate) / float64(len(holders))
 }
 
-// holders are the nodes that use the limit: many, so that enough callers come to them, but no more than may
-// send a request at the same moment. They are chosen by rendezvous hashing, so that a node that comes or
-// goes changes the choice for few VMs.
+// holders returns the nodes that use the limit. They are many, so that enough callers reach one of
+// them, but no more than may each send a request at the same moment. They are chosen by rendezvous
+// hashing, so that a node that joins or leaves changes the holders of few VMs only.
 func (s Sharing) holders(vm string, limit float64) []string {
-	wanted := 1
+	count := 1
 	if !s.Foreign {
-		wanted += int(min((burstPart*limit+sureBurst)/mostBurst, float64(len(s.Nodes))))
+		count += int(min((combinedBurstSeconds*limit+combinedBurstRequests)/maxBurst, float64(len(s.Nodes))))
 	}
-	if wanted >= len(s.Nodes) {
+	if count >= len(s.Nodes) {
 		return s.Nodes
 	}
 	ranked := slices.Clone(s.Nodes)
 	slices.SortFunc(ranked, func(a, b string) int {
 		return cmp.Or(cmp.Compare(weight(b, vm), weight(a, vm)), cmp.Compare(a, b))
 	})
-	return ranked[:wanted]
+	return ranked[:count]
 }
 
+// weight returns the rendezvous hash of a node for a VM.
 func weight(node, vm string) uint64 { return xxhash.Sum64String(node + "/" + vm) }
--- a/internal/backpressure/table.go
+++ b/internal/backpressure/table.go
@@ -6,336 +6,345 @@
 	"time"
 )
 
-// Life names one life of a VM.
+// Incarnation identifies one incarnation of a VM.
 type Life struct {
 	VM string
-	// Born is when the life began, Unix milliseconds; 0 while that is not known.
+	// Born is the start time of the incarnation in Unix milliseconds; 0 while it is not known.
 	Born int64
 }
 
-// same reports whether two lives are the same one, as far as they say.
-func (l Life) same(other Life) bool {
+// matches reports whether two values may identify the same incarnation. An unknown start time matches
+// any.
+func (l Life) matches(other Life) bool {
 	return l.VM == other.VM && (l.Born == other.Born || l.Born == 0 || other.Born == 0)
 }
 
-// Record is what nodes tell each other of one VM.
+// Record is what nodes send each other about one VM.
 type Record struct {
 	Life
-	// Leaving is true once the VM has said that it is about to end.
+	// Leaving is true once the VM has announced that it is about to terminate.
 	Leaving bool
-	// Limited is false when the VM was heard not to name a limit any more.
+	// Limited is false when the VM stopped reporting a limit.
 	Limited bool
 	Limit   float64
-	// At is when a node heard of the limit from the VM, by the clock of the node that holds the record;
-	// zero when nothing was heard of limits.
+	// At is when a node received the report on the limit from the VM, by the clock of the node that
+	// holds the record. It is zero when nothing was reported about limits.
 	At time.Time
 }
 
-// Change is what a word on a VM changed.
+// Change is how an update changed what is known of a VM's limit.
 type Change uint8
 
 // The changes.
 const (
 	Unchanged Change = iota
-	// LimitNamed means that the VM begins to name a limit, LimitChanged that it names another one,
-	// LimitEnded that it names none any more.
+	// LimitSet means that the VM starts to report a limit, LimitChanged that it reports a different
+	// one, and LimitCleared that it reports none any more.
 	LimitNamed
 	LimitChanged
 	LimitEnded
 )
 
-// Hold is whether a request may be sent to a VM.
+// Throttle states whether a request may be sent to a VM now.
 type Hold struct {
-	// Back is true when it may not be sent now.
+	// Throttled is true when the request may not be sent now.
 	Back bool
-	// Wait is about how long it takes until one may be sent.
+	// Wait is about how long it takes until a request may be sent.
 	Wait time.Duration
 }
 
 const (
-	// mostVMs bounds a table, some 150 bytes a VM.
-	mostVMs = 4096
-	// keepEnded is for how long it is remembered that a VM names no limit any more: longer than
-	// older words travel.
-	keepEnded = 30 * time.Second
-	// keepUnlisted is for how long a VM is remembered that is not listed: an entry may lapse while
-	// the platform is away.
-	keepUnlisted = time.Minute
+	// maxVMs bounds a table, which takes some 150 bytes per VM.
+	maxVMs = 4096
+	// clearedRetention is how long a table remembers that a VM reports no limit any more. It is longer
+	// than older records travel between nodes.
+	clearedRetention = 30 * time.Second
+	// unlistedRetention is how long a table remembers a VM that is not listed. An entry may lapse
+	// while the platform is unreachable.
+	unlistedRetention = time.Minute
 )
 
-// condition is what is known of one life of a VM.
+// condition holds what is known of one incarnation of a VM.
 type condition struct {
-	life  Life
-	limit limit
-	rest  rest
-	// leavingAt is when this node learned that the VM leaves; zero while it does not.
+	incarnation Life
+	limit       limit
+	backoff     backoff
+	// leavingAt is when this node learned that the VM is leaving; zero while it is not.
 	leavingAt time.Time
-	// unreadable is true once something that the VM said could not be read.
+	// unreadable is true once a report of the VM could not be parsed.
 	unreadable bool
-	// unlistedAt is since when the VM is not listed; zero while it is.
+	// unlistedAt is the time since which the VM has not been listed; zero while it is listed.
 	unlistedAt time.Time
 }
 
-// Table is what one node knows of the conditions of VMs. It is not safe for concurrent use; its owner
-// holds a lock.
+// Table holds what one node knows of the conditions of VMs. It is not safe for concurrent use; its
+// owner holds a lock.
 type Table struct {
 	vms map[string]*condition
-	// told are those that others are told of, what changed last first; nil while it must be sorted anew.
-	told []*condition
-	// turn counts the times that records were asked for.
-	turn int
+	// shared are the conditions that are sent to other nodes, the newest change first. It is nil when
+	// it must be sorted again.
+	shared []*condition
+	// rotation counts the calls of Records, which sends the less recently changed records in turns.
+	rotation int
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{vms: make(map[string]*condition)} }
 
-// Empty reports whether nothing is known of any VM.
+// Empty reports whether the table holds no VM.
 func (t *Table) Empty() bool { return len(t.vms) == 0 }
 
-// Heard takes what an answer says of the VM, to a request that was sent then. An answer without a
-// limit ends one only if its request was sent after the limit was heard: answers overtake each other.
-func (t *Table) Heard(now, sent time.Time, life Life, n Notice) Change {
-	t.heardRest(now, life, n)
+// Observe records what a response of the VM reports. sent is when its request was sent: a response
+// without a limit clears the limit only if its request was sent after the limit was reported, since
+// responses can overtake each other.
+func (t *Table) Heard(now, sent time.Time, incarnation Life, n Notice) Change {
+	t.observeBackoff(now, incarnation, n)
 	if !n.Limited {
-		return t.ended(now, sent, life)
+		return t.clearLimit(now, sent, incarnation)
 	}
-	return t.set(now, Record{Life: life, Limited: true, Limit: n.Limit, At: now})
+	return t.setLimit(now, Record{Life: incarnation, Limited: true, Limit: n.Limit, At: now})
 }
 
-// heardRest takes what an answer means for the VM's rest.
-func (t *Table) heardRest(now time.Time, life Life, n Notice) {
-	c := t.of(life)
+// observeBackoff updates the VM's backoff from a response.
+func (t *Table) observeBackoff(now time.Time, incarnation Life, n Notice) {
+	c := t.find(incarnation)
 	if c == nil && n.Rest <= 0 {
 		return
 	}
 	if c == nil {
-		c = t.add(life)
+		c = t.add(incarnation)
 	}
-	c.rest.heard(now, n)
+	c.backoff.observe(now, n)
 }
 
-func (t *Table) ended(now, sent time.Time, life Life) Change {
-	c := t.of(life)
-	if c == nil || !c.limit.named || !sent.After(c.limit.at) {
+// clearLimit processes a response that reports no limit.
+func (t *Table) clearLimit(now, sent time.Time, incarnation Life) Change {
+	c := t.find(incarnation)
+	if c == nil || !c.limit.active || !sent.After(c.limit.reportedAt) {
 		return Unchanged
 	}
-	return t.set(now, Record{Life: life, At: now})
+	return t.setLimit(now, Record{Life: incarnation, At: now})
 }
 
-// Unreadable notes that something that the VM said could not be read. It reports whether that is the first.
-func (t *Table) Unreadable(life Life) bool {
-	c := t.of(life)
+// MarkUnreadable records that a report of the VM could not be parsed. It reports whether it is the
+// first one.
+func (t *Table) Unreadable(incarnation Life) bool {
+	c := t.find(incarnation)
 	if c == nil {
-		c = t.add(life)
+		c = t.add(incarnation)
 	}
 	first := !c.unreadable
 	c.unreadable = true
 	return first
 }
 
-// Leaves notes that the VM is about to end, as it said itself or another node told. It reports whether
-// that is news. Only the end of its life ends it.
-func (t *Table) Leaves(now time.Time, life Life) bool {
-	c := t.of(life)
+// MarkLeaving records that the VM is about to terminate, as it announced itself or as another node
+// reported. It reports whether that was not known yet. The mark stays until the incarnation ends.
+func (t *Table) Leaves(now time.Time, incarnation Life) bool {
+	c := t.find(incarnation)
 	if c == nil {
-		c = t.add(life)
+		c = t.add(incarnation)
 	}
 	if !c.leavingAt.IsZero() {
 		return false
 	}
 	c.leavingAt = now
-	t.told = nil
+	t.shared = nil
 	return true
 }
 
-// Leaving reports whether the VM is about to end.
-func (t *Table) Leaving(life Life) bool {
-	c := t.of(life)
+// Leaving reports whether the VM is about to terminate.
+func (t *Table) Leaving(incarnation Life) bool {
+	c := t.find(incarnation)
 	return c != nil && !c.leavingAt.IsZero()
 }
 
-// Resting is for how long the VM still wants no request of this node; zero when it does not say.
-func (t *Table) Resting(now time.Time, life Life) time.Duration {
-	c := t.of(life)
+// Backoff returns how long this node must still send no requests to the VM; zero when the VM asked for
+// no backoff.
+func (t *Table) Resting(now time.Time, incarnation Life) time.Duration {
+	c := t.find(incarnation)
 	if c == nil {
 		return 0
 	}
-	return max(c.rest.until.Sub(now), 0)
+	return max(c.backoff.until.Sub(now), 0)
 }
 
-// Told takes a record of another node, and reports what it changes and whether the VM is now known to
-// leave. What is older than what is known changes nothing, nor does a word on another life than the one that is
-// known: it may be the former one. listed says whether the platform lists that life: of one that it doesn't, only
-// what is known already changes, or nodes that forget it would be told of it anew for ever.
-func (t *Table) Told(now time.Time, r Record, listed bool) (change Change, leaves bool) {
-	c := t.of(r.Life)
+// Merge takes a record of another node. It returns what the record changes and whether it is the first
+// to report that the VM is leaving. A record that is older than the known state changes nothing, nor
+// does one of an incarnation other than the known one, since it may be the previous one. listed states
+// whether the platform lists the incarnation. A record of an unlisted one updates only what is known
+// already; otherwise nodes that forget it would receive it from each other forever.
+func (t *Table) Told(now time.Time, r Record, listed bool) (change Change, leaving bool) {
+	c := t.find(r.Life)
 	if c == nil && (!listed || t.vms[r.VM] != nil) {
 		return Unchanged, false
 	}
 	if r.Leaving {
-		leaves = t.Leaves(now, r.Life)
+		leaving = t.Leaves(now, r.Life)
 	}
-	if r.At.IsZero() || (c != nil && !r.At.After(c.limit.at)) {
-		return Unchanged, leaves
+	if r.At.IsZero() || (c != nil && !r.At.After(c.limit.reportedAt)) {
+		return Unchanged, leaving
 	}
-	return t.set(now, r), leaves
+	return t.setLimit(now, r), leaving
 }
 
-// set takes the newest word on a limit.
-func (t *Table) set(now time.Time, r Record) Change {
-	c := t.of(r.Life)
+// setLimit stores the newest report on a limit.
+func (t *Table) setLimit(now time.Time, r Record) Change {
+	c := t.find(r.Life)
 	if c == nil {
 		c = t.add(r.Life)
 	}
 	l := &c.limit
-	change := l.changeTo(r)
-	l.named, l.rate, l.at = r.Limited, r.Limit, r.At
+	change := l.changeBy(r)
+	l.active, l.rate, l.reportedAt = r.Limited, r.Limit, r.At
 	if change != Unchanged {
 		l.changedAt = now
-		t.told = nil
+		t.shared = nil
 	}
 	if change == LimitNamed {
-		l.heldSince = time.Time{}
+		l.holderSince = time.Time{}
 	}
 	return change
 }
 
-// changeTo is what a record changes.
-func (l *limit) changeTo(r Record) Change {
+// changeBy returns how a record changes the limit.
+func (l *limit) changeBy(r Record) Change {
 	switch {
-	case r.Limited && !l.named:
+	case r.Limited && !l.active:
 		return LimitNamed
 	case r.Limited && l.rate != r.Limit:
 		return LimitChanged
-	case l.named && !r.Limited:
+	case l.active && !r.Limited:
 		return LimitEnded
 	}
 	return Unchanged
 }
 
-// of finds what is known of a life; nil when nothing is.
-func (t *Table) of(life Life) *condition {
-	c := t.vms[life.VM]
-	if c == nil || !c.life.same(life) {
+// find returns the condition of an incarnation; nil when nothing is known of it.
+func (t *Table) find(incarnation Life) *condition {
+	c := t.vms[incarnation.VM]
+	if c == nil || !c.incarnation.matches(incarnation) {
 		return nil
 	}
 	return c
 }
 
-// add begins with a life, in place of a former one. A full table forgets what it heard longest ago.
-func (t *Table) add(life Life) *condition {
-	if len(t.vms) >= mostVMs {
+// add starts to track an incarnation, in place of a previous one of the same VM. A full table forgets
+// the VM with the oldest report first.
+func (t *Table) add(incarnation Life) *condition {
+	if len(t.vms) >= maxVMs {
 		t.forgetOldest()
 	}
-	c := &condition{life: life}
-	t.vms[life.VM] = c
-	t.told = nil
+	c := &condition{incarnation: incarnation}
+	t.vms[incarnation.VM] = c
+	t.shared = nil
 	return c
 }
 
 func (t *Table) forgetOldest() {
 	var oldest *condition
 	for _, c := range t.vms {
-		if oldest == nil || c.limit.at.Before(oldest.limit.at) {
+		if oldest == nil || c.limit.reportedAt.Before(oldest.limit.reportedAt) {
 			oldest = c
 		}
 	}
-	t.forget(oldest.life.VM)
+	t.forget(oldest.incarnation.VM)
 }
 
 func (t *Table) forget(vm string) {
 	delete(t.vms, vm)
-	t.told = nil
+	t.shared = nil
 }
 
-// Limit is the limit that a VM names; false when it names none.
-func (t *Table) Limit(life Life) (Record, bool) {
-	c := t.of(life)
-	if c == nil || !c.limit.named {
+// Limit returns the limit that a VM reports; false when it reports none.
+func (t *Table) Limit(incarnation Life) (Record, bool) {
+	c := t.find(incarnation)
+	if c == nil || !c.limit.active {
 		return Record{}, false
 	}
 	return c.record(), true
 }
 
-// Room is how many requests this node may send to a VM within a time, as of the newest check; false
-// when the VM names no limit.
-func (t *Table) Room(life Life, within time.Duration) (float64, bool) {
-	c := t.of(life)
-	if c == nil || !c.limit.named {
+// Headroom returns how many requests this node may send to a VM within a period, as of the newest
+// check; false when the VM reports no limit.
+func (t *Table) Room(incarnation Life, within time.Duration) (float64, bool) {
+	c := t.find(incarnation)
+	if c == nil || !c.limit.active {
 		return 0, false
 	}
-	return c.limit.tokens + c.limit.own*within.Seconds(), true
+	return c.limit.tokens + c.limit.localRate*within.Seconds(), true
 }
 
 func (c *condition) record() Record {
-	return Record{Life: c.life, Leaving: !c.leavingAt.IsZero(), Limited: c.limit.named, Limit: c.limit.rate, At: c.limit.at}
+	return Record{Life: c.incarnation, Leaving: !c.leavingAt.IsZero(), Limited: c.limit.active, Limit: c.limit.rate, At: c.limit.reportedAt}
 }
 
-// Check reports whether a request may be sent to a VM. reserve is the part of a request, 0 to 0.3, that is
-// kept for more urgent ones of what a VM with a limit takes; sharing is only asked for with a limit.
-func (t *Table) Check(now time.Time, life Life, reserve float64, sharing func() Sharing) Hold {
-	c := t.of(life)
+// Check reports whether a request may be sent to a VM. reserve is the fraction of a request, 0 to 0.3,
+// that is kept in reserve for more urgent requests when the VM has a limit. sharing is called only if
+// the VM has a limit.
+func (t *Table) Check(now time.Time, incarnation Life, reserve float64, sharing func() Sharing) Hold {
+	c := t.find(incarnation)
 	if c == nil {
 		return Hold{}
 	}
-	if wait := c.rest.wait(now); wait > 0 {
+	if wait := c.backoff.remaining(now); wait > 0 {
 		return Hold{Back: true, Wait: wait}
 	}
-	if !c.limit.named {
+	if !c.limit.active {
 		return Hold{}
 	}
-	rate := c.limit.refill(now, life.VM, sharing())
+	rate := c.limit.refill(now, incarnation.VM, sharing())
 	if rate == 0 {
-		return Hold{Back: true, Wait: interval(c.limit.rate)}
+		return Hold{Back: true, Wait: requestInterval(c.limit.rate)}
 	}
-	needed := 1 + min(reserve, mostReserve)
+	needed := 1 + min(reserve, maxReserve)
 	if c.limit.tokens >= needed {
 		return Hold{}
 	}
-	return Hold{Back: true, Wait: c.limit.wait(now, needed, rate)}
+	return Hold{Back: true, Wait: c.limit.waitFor(now, needed, rate)}
 }
 
-// interval is the time between two requests at a limit.
-func interval(limit float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(limit, leastRate))
+// requestInterval returns the time between two requests at a limit.
+func requestInterval(limit float64) time.Duration {
+	return time.Duration(float64(time.Second) / max(limit, minRate))
 }
 
-// Sent notes a request that is sent to the VM.
-func (t *Table) Sent(now time.Time, life Life) {
-	c := t.of(life)
+// RecordSent records that a request is sent to the VM.
+func (t *Table) Sent(now time.Time, incarnation Life) {
+	c := t.find(incarnation)
 	if c == nil {
 		return
 	}
-	c.rest.sent(now)
-	if c.limit.named {
+	c.backoff.recordSent(now)
+	if c.limit.active {
 		c.limit.tokens--
 	}
 }
 
-// Unsent takes back what was noted of a request that was not sent after all.
-func (t *Table) Unsent(life Life) {
-	c := t.of(life)
+// UndoSent reverts RecordSent for a request that was not sent after all.
+func (t *Table) Unsent(incarnation Life) {
+	c := t.find(incarnation)
 	if c == nil {
 		return
 	}
-	c.rest.triedAt = time.Time{}
-	if c.limit.named {
+	c.backoff.probedAt = time.Time{}
+	if c.limit.active {
 		c.limit.tokens++
 	}
 }
 
-// Records are what other nodes are told, at most that many. Of more than that half are those that
-// changed last, and the others take turns.
-func (t *Table) Records(most int) []Record {
-	if t.told == nil {
-		t.told = t.sorted()
+// Records returns the records to send to other nodes, at most maxRecords. If there are more, one half
+// are those that changed last, and the others take turns.
+func (t *Table) Records(maxRecords int) []Record {
+	if t.shared == nil {
+		t.shared = t.sortedShared()
 	}
-	all := t.told
-	if len(all) > most {
-		newest, others := all[:most/2], all[most/2:]
-		t.turn++
-		from := t.turn * (most / 2) % len(others)
-		all = slices.Concat(newest, others[from:min(from+most/2, len(others))])
+	all := t.shared
+	if len(all) > maxRecords {
+		newest, others := all[:maxRecords/2], all[maxRecords/2:]
+		t.rotation++
+		from := t.rotation * (maxRecords / 2) % len(others)
+		all = slices.Concat(newest, others[from:min(from+maxRecords/2, len(others))])
 	}
 	out := make([]Record, 0, len(all))
 	for _, c := range all {
@@ -344,44 +353,45 @@
 	return out
 }
 
-// sorted are the conditions that others are told of, what changed last first.
-func (t *Table) sorted() []*condition {
+// sortedShared returns the conditions that are sent to other nodes, the newest change first.
+func (t *Table) sortedShared() []*condition {
 	out := make([]*condition, 0, len(t.vms))
 	for _, c := range t.vms {
-		if !c.limit.at.IsZero() || !c.leavingAt.IsZero() {
+		if !c.limit.reportedAt.IsZero() || !c.leavingAt.IsZero() {
 			out = append(out, c)
 		}
 	}
 	slices.SortFunc(out, func(a, b *condition) int {
-		return cmp.Or(b.changedAt().Compare(a.changedAt()), cmp.Compare(a.life.VM, b.life.VM))
+		return cmp.Or(b.changedAt().Compare(a.changedAt()), cmp.Compare(a.incarnation.VM, b.incarnation.VM))
 	})
 	return out
 }
 
-// Sweep forgets lives that have ended. listed returns the life that the platform lists under a VM's ID.
+// Sweep forgets incarnations that have ended. listed returns the incarnation that the platform lists
+// under a VM's ID.
 func (t *Table) Sweep(now time.Time, listed func(vm string) (Life, bool)) {
 	for id, c := range t.vms {
-		life, there := listed(id)
+		incarnation, ok := listed(id)
 		switch {
-		case there && !life.same(c.life):
+		case ok && !incarnation.matches(c.incarnation):
 			t.forget(id)
-		case there:
+		case ok:
 			c.unlistedAt = time.Time{}
 		case c.unlistedAt.IsZero():
 			c.unlistedAt = now
-		case now.Sub(c.unlistedAt) > keepUnlisted:
+		case now.Sub(c.unlistedAt) > unlistedRetention:
 			t.forget(id)
 		}
-		if c.over(now) {
+		if c.expired(now) {
 			t.forget(id)
 		}
 	}
 }
 
-// over reports whether nothing that is known of the VM matters any more.
-func (c *condition) over(now time.Time) bool {
-	return !c.limit.named && now.Sub(c.limit.at) > keepEnded && !c.rest.known(now) && c.leavingAt.IsZero() && !c.unreadable
+// expired reports whether nothing that is known of the VM is relevant any more.
+func (c *condition) expired(now time.Time) bool {
+	return !c.limit.active && now.Sub(c.limit.reportedAt) > clearedRetention && !c.backoff.relevant(now) && c.leavingAt.IsZero() && !c.unreadable
 }
 
-// changedAt is when this node learned the newest of what others are told.
+// changedAt returns when this node learned of the newest change that is sent to other nodes.
 func (c *condition) changedAt() time.Time { return latest(c.limit.changedAt, c.leavingAt) }
--- a/internal/backpressure/wire.go
+++ b/internal/backpressure/wire.go
@@ -6,7 +6,7 @@
 	marbleroadv1 "github.com/marbleroad/marbleroad/api/marbleroad/v1"
 )
 
-// Encode is a record as other nodes are told it, with its age in place of its time.
+// Encode returns the record as a message to other nodes, with its age in place of its time.
 func (r Record) Encode(now time.Time) *marbleroadv1.UpstreamCondition {
 	out := &marbleroadv1.UpstreamCondition{Vm: r.VM, Born: r.Born, Leaving: r.Leaving}
 	if !r.At.IsZero() {
@@ -19,12 +19,13 @@
 	return out
 }
 
-// Decode is a record that was told in a message which was made then or later.
-func Decode(c *marbleroadv1.UpstreamCondition, madeAt time.Time) Record {
+// Decode returns the record that a message holds. createdAt is the time from which the message's ages
+// count back, at or after its creation.
+func Decode(c *marbleroadv1.UpstreamCondition, createdAt time.Time) Record {
 	out := Record{Life: Life{VM: c.GetVm(), Born: c.GetBorn()}, Leaving: c.GetLeaving()}
 	if c.LimitAgeMs != nil {
 		age := time.Duration(c.GetLimitAgeMs()) * time.Millisecond
-		out.Limited, out.Limit, out.At = c.Limit != nil, c.GetLimit(), madeAt.Add(-age)
+		out.Limited, out.Limit, out.At = c.Limit != nil, c.GetLimit(), createdAt.Add(-age)
 	}
 	return out
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -382,17 +382,17 @@
 mutant "heads are filled beyond their room" internal/spread/spread.go \
   's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
-  's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
+  's/if !c\.limit\.active \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
   's/if !heard \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
-  's/if wanted >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersKeepToALimitInSum
+  's/if count >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a foreign node uses the whole limit" internal/backpressure/sharing.go \
-  's/if !s\.Foreign \{\n\t\twanted/if true {\n\t\twanted/' ./internal/backpressure TestHoldersKeepToALimitInSum
+  's/if !s\.Foreign \{\n\t\tcount/if true {\n\t\tcount/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a new holder does not wait" internal/backpressure/limit.go \
-  's/now\.Add\(handover\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
+  's/now\.Add\(handoverDelay\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
 mutant "backpressure: an older answer ends a limit" internal/backpressure/table.go \
-  's/ \|\| !sent\.After\(c\.limit\.at\)//' ./internal/backpressure TestAnswerOfBeforeDoesNotEndALimit
+  's/ \|\| !sent\.After\(c\.limit\.reportedAt\)//' ./internal/backpressure TestEarlierResponseDoesNotClearLimit
 mutant "backpressure: a limit is lost with its target" internal/gateway/condition.go \
   's/b\.conditions\.Sweep\(/b.conditions = backpressure.NewTable()\n\tb.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
 mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
@@ -402,17 +402,17 @@
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
   's/hold := b\.hold\(now, t, kept\); hold\.Back/hold := b.hold(now, t, kept); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
-  's/needed := 1 \+ min\(reserve, mostReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
+  's/needed := 1 \+ min\(reserve, maxReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
-  's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestWordOnAFormerLifeChangesNothing
+  's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestRecordOfPreviousIncarnationIsIgnored
 mutant "backpressure: a word on a VM that is gone goes round for ever" internal/backpressure/table.go \
-  's/!listed \|\| //' ./internal/backpressure TestWordOnAVMThatIsGoneEndsAtAllNodes
+  's/!listed \|\| //' ./internal/backpressure TestRecordOfRemovedVMExpiresAtAllNodes
 mutant "backpressure: a rest is not kept" internal/backpressure/rest.go \
-  's/if now\.Before\(r\.until\) \{/if false {/' ./internal/gateway TestUpstreamThatAsksForRestIsLeftAlone
+  's/if now\.Before\(b\.until\) \{/if false {/' ./internal/gateway TestUpstreamThatAsksForRestIsLeftAlone
 mutant "backpressure: all come at once after a rest" internal/backpressure/rest.go \
-  's/if r\.onTrial \{/if false {/' ./internal/backpressure TestAfterARestOneRequestGoesFirst
+  's/if b\.probing \{/if false {/' ./internal/backpressure TestSingleProbeAfterBackoff
 mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
-  's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestRestOfYearsIsBounded
+  's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestBackoffIsBounded
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
   's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
