--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -14,69 +14,71 @@
 	"github.com/marbleroad/marbleroad/internal/wait"
 )
 
-// ArchiveName is the archive's name in the kernel.
+// ArchiveName is the archive's service name in the kernel.
 const ArchiveName = "quarantine"
 
 const (
-	// archivePrefix and archiveKey are where the store holds the proved records, in one object.
+	// archivePrefix and archiveKey locate the one object in the store that holds the confirmed
+	// records.
 	archivePrefix = "marbleroad-quarantine/"
 	archiveKey    = archivePrefix + "requests"
-	// archiveWait is how long one watch waits. News wake it; this only bounds how long a watch
-	// on a connection that fell silent hides them, 0.1 calls a second and reader.
-	archiveWait = 10 * time.Second
-	// archiveRetry and mostArchiveRetry are the first and the longest pause after a failed call.
-	archiveRetry     = 150 * time.Millisecond
-	mostArchiveRetry = time.Second
-	// otherWriter is how long a node leaves it to the one that learned something at first hand
-	// to write it; a jitter of as much comes on top.
-	otherWriter = 1500 * time.Millisecond
-	// followInterval is how often a node that does not read looks whether it must.
-	followInterval = time.Second
-	// mostWriteTries bounds the tries of one writing, so that many writers at once give way.
-	mostWriteTries = 5
+	// watchTimeout is how long one watch waits. A change ends it early, so this only bounds how long a
+	// watch on an unresponsive connection hides changes. It costs 0.1 calls per second and reader.
+	watchTimeout = 10 * time.Second
+	// minRetryPause and maxRetryPause are the first and the longest pause after a failed call.
+	minRetryPause = 150 * time.Millisecond
+	maxRetryPause = time.Second
+	// writeDelay is how long a node leaves it to the node that observed a change to write it; a jitter
+	// of up to the same length is added.
+	writeDelay = 1500 * time.Millisecond
+	// readCheckInterval is how often a node that does not read the store checks whether it must.
+	readCheckInterval = time.Second
+	// maxWriteAttempts bounds the attempts of one write, so that many concurrent writers back off.
+	maxWriteAttempts = 5
 )
 
-// Archive keeps a table's proved records in the platform's store. What one node has learned thus
-// outlasts all nodes' lives, and reaches nodes that hear only the store.
+// Archive keeps a table's confirmed records in the platform's store. What one node has learned thus
+// survives a restart of all nodes, and reaches nodes that can reach only the store.
 type Archive struct {
 	table *Table
 	store platform.ObjectStore
 	log   *event.Logger
-	// reads reports whether this node must read the store itself; nodes that follow others are
-	// told by their exchanges.
+	// reads reports whether this node must read the store itself. Nodes that follow others receive
+	// changes by their exchanges.
 	reads func() bool
 	now   func() time.Time
 
-	// urgent is filled when this node has learned something at first hand.
+	// urgent holds a value when this node itself has observed a change that must be written.
 	urgent chan struct{}
-	// again ends the call to the store under way.
-	again atomic.Pointer[context.CancelFunc]
-	// stored is the digest of what the store was last seen to hold.
-	stored  atomic.Uint64
-	reading wait.Loop
-	writing wait.Loop
-	// failed is true after a failed reading; it belongs to the reading loop.
-	failed bool
+	// cancelCall cancels the call to the store in progress.
+	cancelCall atomic.Pointer[context.CancelFunc]
+	// storedDigest is the digest of what the store was last seen to hold.
+	storedDigest atomic.Uint64
+	reading      wait.Loop
+	writing      wait.Loop
+	// readFailed is true after a failed read. Only the reading loop uses it.
+	readFailed bool
 }
 
 // NewArchive returns the archive of a table. now is the node's clock.
 func NewArchive(table *Table, store platform.ObjectStore, log *event.Logger, reads func() bool, now func() time.Time) *Archive {
 	a := &Archive{table: table, store: store, log: log, reads: reads, now: now, urgent: make(chan struct{}, 1)}
-	table.OnProved(a.hurry)
+	table.OnProved(a.triggerWrite)
 	return a
 }
 
-func (a *Archive) hurry() {
+// triggerWrite wakes the writing loop.
+func (a *Archive) triggerWrite() {
 	select {
 	case a.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Refresh has the store be read anew at once: it is back, and a watch from before may hang on a
-// connection that a cut has ended without a word.
+// Refresh reads the store again at once. It is called when the store is reachable again: an earlier
+// watch may hang on a connection that a partition has broken without an error.
 func (a *Archive) Refresh() {
-	if cancel := a.again.Load(); cancel != nil {
+	if cancel := a.cancelCall.Load(); cancel != nil {
 		(*cancel)()
 	}
 }
@@ -98,21 +100,21 @@
 	return nil
 }
 
-// readLoop reads the store once, since this life knows nothing yet, and then watches it while
+// readLoop reads the store once, since a starting node knows nothing yet, and then watches it while
 // this node is one of those that read.
 func (a *Archive) readLoop(ctx context.Context) {
 	var revision uint64
 	known := false
-	failing := wait.Backoff{Least: archiveRetry, Most: mostArchiveRetry}
-	for first := true; ctx.Err() == nil; {
-		if !first && !a.reads() {
+	backoff := wait.Backoff{Least: minRetryPause, Most: maxRetryPause}
+	for firstRead := true; ctx.Err() == nil; {
+		if !firstRead && !a.reads() {
 			known = false
-			wait.Sleep(ctx, followInterval)
+			wait.Sleep(ctx, readCheckInterval)
 			continue
 		}
 		call, cancel := context.WithCancel(ctx)
-		a.again.Store(&cancel)
-		objects, next, err := a.ask(call, known, revision)
+		a.cancelCall.Store(&cancel)
+		objects, next, err := a.read(call, known, revision)
 		refreshed := call.Err() != nil
 		cancel()
 		switch {
@@ -121,72 +123,74 @@
 			continue
 		case err != nil:
 			known = known && !errors.Is(err, platform.ErrCompacted)
-			a.fails(ctx, err)
-			wait.Sleep(ctx, failing.Next())
+			a.logReadFailure(ctx, err)
+			wait.Sleep(ctx, backoff.Next())
 			continue
 		}
-		first, known, revision, a.failed = false, true, next, false
-		failing.Succeeded()
+		firstRead, known, revision, a.readFailed = false, true, next, false
+		backoff.Succeeded()
 		for _, o := range objects {
-			if _, err := a.take(o); err != nil {
-				a.fails(ctx, err)
+			if _, err := a.mergeObject(o); err != nil {
+				a.logReadFailure(ctx, err)
 			}
 		}
 	}
 }
 
-func (a *Archive) ask(ctx context.Context, known bool, revision uint64) ([]platform.Object, uint64, error) {
+// read lists the stored objects, or waits for changes if the revision is known.
+func (a *Archive) read(ctx context.Context, known bool, revision uint64) ([]platform.Object, uint64, error) {
 	if known {
-		return a.store.Watch(ctx, archivePrefix, revision, archiveWait)
+		return a.store.Watch(ctx, archivePrefix, revision, watchTimeout)
 	}
 	return a.store.List(ctx, archivePrefix)
 }
 
-// take merges a stored object into the table and returns what it holds.
-func (a *Archive) take(o platform.Object) ([]Record, error) {
+// mergeObject merges a stored object into the table and returns the records that it holds.
+func (a *Archive) mergeObject(o platform.Object) ([]Record, error) {
 	records, err := decode(o.Value, a.now(), time.Now())
 	if err != nil {
 		return nil, errors.Wrapf(err, "read %s", o.Key)
 	}
 	a.table.Merge(a.now(), records)
-	a.stored.Store(sumOf(records))
+	a.storedDigest.Store(digestOf(records))
 	return records, nil
 }
 
-// fails logs the first failure in a row.
-func (a *Archive) fails(ctx context.Context, err error) {
-	if a.failed || ctx.Err() != nil {
+// logReadFailure logs the first failure in a row.
+func (a *Archive) logReadFailure(ctx context.Context, err error) {
+	if a.readFailed || ctx.Err() != nil {
 		return
 	}
-	a.failed = true
+	a.readFailed = true
 	a.log.Emit(event.QuarantineUnread).Err(err).Send()
 }
 
-// writeLoop writes what this node has learned at first hand at once, and what others have and the
-// store lacks after a while.
+// writeLoop writes what this node has observed itself at once. What others have observed and the store
+// lacks is written after a delay.
 func (a *Archive) writeLoop(ctx context.Context) {
-	failing := wait.Backoff{Least: archiveRetry, Most: mostArchiveRetry}
+	backoff := wait.Backoff{Least: minRetryPause, Most: maxRetryPause}
 	for ctx.Err() == nil {
-		urgent := a.awaitWork(ctx)
+		urgent := a.awaitTrigger(ctx)
 		digest := a.table.Digest(a.now())
-		if digest == a.stored.Load() || digest == 0 || ctx.Err() != nil || !(urgent || a.reads()) {
+		if digest == a.storedDigest.Load() || digest == 0 || ctx.Err() != nil || !(urgent || a.reads()) {
 			continue
 		}
 		if err := a.write(ctx); err != nil && ctx.Err() == nil {
 			a.log.Emit(event.QuarantineUnread).Err(err).Send()
-			wait.Sleep(ctx, failing.Next())
+			wait.Sleep(ctx, backoff.Next())
 			if urgent {
-				a.hurry()
+				a.triggerWrite()
 			}
 			continue
 		}
-		failing.Succeeded()
+		backoff.Succeeded()
 	}
 }
 
-// awaitWork waits for something to write; urgent is true when this node has learned it at first hand.
-func (a *Archive) awaitWork(ctx context.Context) (urgent bool) {
-	timer := time.NewTimer(otherWriter + rand.N(otherWriter))
+// awaitTrigger waits until there may be something to write; urgent is true when this node has observed
+// it itself.
+func (a *Archive) awaitTrigger(ctx context.Context) (urgent bool) {
+	timer := time.NewTimer(writeDelay + rand.N(writeDelay))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -197,65 +201,67 @@
 	return false
 }
 
-// write has the store hold all that this table holds. Another node's words are merged, never
+// write stores all confirmed records of this table. Records of other nodes are merged, never
 // overwritten: the update is conditional on the version that was read.
 func (a *Archive) write(ctx context.Context) error {
 	var err error
-	for range mostWriteTries {
+	for range maxWriteAttempts {
 		var done bool
-		if done, err = a.tryWrite(ctx); done {
+		if done, err = a.attemptWrite(ctx); done {
 			return err
 		}
 	}
 	return err
 }
 
-// tryWrite reports done false when another writer was faster.
-func (a *Archive) tryWrite(ctx context.Context) (done bool, err error) {
-	old, err := a.store.Get(ctx, archiveKey)
+// attemptWrite makes one attempt. done is false when another writer was faster or the outcome is
+// unknown.
+func (a *Archive) attemptWrite(ctx context.Context) (done bool, err error) {
+	current, err := a.store.Get(ctx, archiveKey)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return true, err
 	}
 	var stored []Record
 	if err == nil {
-		if stored, err = a.take(old); err != nil {
-			// It is written anew, with what this node knows.
+		if stored, err = a.mergeObject(current); err != nil {
+			// The malformed object is replaced by what this node knows.
 			a.log.Emit(event.QuarantineUnread).Err(err).Send()
 		}
 	}
-	proved := a.table.Proved(a.now())
-	if sumOf(proved) == sumOf(stored) {
+	confirmed := a.table.Proved(a.now())
+	if digestOf(confirmed) == digestOf(stored) {
 		return true, nil
 	}
-	value, err := encode(proved, a.now(), time.Now())
+	value, err := encode(confirmed, a.now(), time.Now())
 	if err != nil {
 		return true, err
 	}
-	_, err = a.store.Put(ctx, archiveKey, value, old.Version)
+	_, err = a.store.Put(ctx, archiveKey, value, current.Version)
 	if err == nil {
-		a.stored.Store(sumOf(proved))
+		a.storedDigest.Store(digestOf(confirmed))
 	}
 	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUnknown) {
 		return false, err
 	}
 	if err == nil {
-		a.log.Emit(event.QuarantineStored).Int("requests", len(proved)).Int("bytes", len(value)).Send()
+		a.log.Emit(event.QuarantineStored).Int("requests", len(confirmed)).Int("bytes", len(value)).Send()
 	}
 	return true, err
 }
 
-func sumOf(records []Record) uint64 {
+// digestOf returns the digest of the confirmed ones of some records.
+func digestOf(records []Record) uint64 {
 	sum := uint64(0)
 	for i := range records {
 		if records[i].Proved {
-			sum ^= records[i].sum()
+			sum ^= records[i].contentHash()
 		}
 	}
 	return sum
 }
 
-// document is the stored object. Times are Unix milliseconds by the writer's time of day; they
-// only say when records end, in minutes and hours, so that clocks which differ by seconds do.
+// document is the stored object. Times are Unix milliseconds of the writer's wall clock. They only
+// state when records expire, in minutes and hours, so that clocks that differ by seconds do no harm.
 type document struct {
 	Requests []storedRecord `json:"requests"`
 }
@@ -268,6 +274,8 @@
 	Quarantined int64   `json:"quarantined_ms,omitempty"`
 }
 
+// encode returns the stored object of some records. now and wall are the same moment by the node's
+// clock and by the wall clock.
 func encode(records []Record, now, wall time.Time) ([]byte, error) {
 	ms := func(at time.Time) int64 {
 		if at.IsZero() {
@@ -288,7 +296,7 @@
 	return value, errors.Wrap(err, "encode requests in quarantine")
 }
 
-// decode reads a stored object. What is told of the future counts as of now.
+// decode reads a stored object. Times in the future count as now.
 func decode(value []byte, now, wall time.Time) ([]Record, error) {
 	var d document
 	if err := json.Unmarshal(value, &d); err != nil {
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -14,26 +14,26 @@
 	"github.com/marbleroad/marbleroad/internal/platform"
 )
 
-// memory is a store of one object in virtual time.
-type memory struct {
+// memoryStore is an in-memory store of one object.
+type memoryStore struct {
 	platform.ObjectStore
 	mu      sync.Mutex
 	object  platform.Object
 	changed chan struct{}
-	// away has every call fail, lost has writes take effect without an answer, silent has watches
-	// hear nothing.
-	away, lost, silent bool
-	calls              int
+	// unreachable makes every call fail, loseResponse makes the next write take effect without a
+	// response, and stalled makes watches wait without returning anything.
+	unreachable, loseResponse, stalled bool
+	calls                              int
 }
 
-func newMemory() *memory { return &memory{changed: make(chan struct{})} }
+func newMemoryStore() *memoryStore { return &memoryStore{changed: make(chan struct{})} }
 
-func (m *memory) Get(context.Context, string) (platform.Object, error) {
+func (m *memoryStore) Get(context.Context, string) (platform.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
 	switch {
-	case m.away:
+	case m.unreachable:
 		return platform.Object{}, platform.ErrUnavailable
 	case m.object.Version == 0:
 		return platform.Object{}, platform.ErrNotFound
@@ -41,7 +41,7 @@
 	return m.object, nil
 }
 
-func (m *memory) List(ctx context.Context, _ string) ([]platform.Object, uint64, error) {
+func (m *memoryStore) List(ctx context.Context, _ string) ([]platform.Object, uint64, error) {
 	o, err := m.Get(ctx, "")
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, 0, nil
@@ -49,12 +49,12 @@
 	return []platform.Object{o}, o.Version, err
 }
 
-func (m *memory) Put(_ context.Context, key string, value []byte, base uint64) (platform.Object, error) {
+func (m *memoryStore) Put(_ context.Context, key string, value []byte, base uint64) (platform.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
 	switch {
-	case m.away:
+	case m.unreachable:
 		return platform.Object{}, platform.ErrUnavailable
 	case base != m.object.Version:
 		return platform.Object{}, platform.ErrConflict
@@ -62,22 +62,22 @@
 	m.object = platform.Object{Key: key, Version: base + 1, Revision: base + 1, Value: value}
 	close(m.changed)
 	m.changed = make(chan struct{})
-	if m.lost {
-		m.lost = false
+	if m.loseResponse {
+		m.loseResponse = false
 		return platform.Object{}, platform.ErrUnknown
 	}
 	return m.object, nil
 }
 
-func (m *memory) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]platform.Object, uint64, error) {
+func (m *memoryStore) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]platform.Object, uint64, error) {
 	m.mu.Lock()
 	m.calls++
-	o, changed, away, silent := m.object, m.changed, m.away, m.silent
+	o, changed, unreachable, stalled := m.object, m.changed, m.unreachable, m.stalled
 	m.mu.Unlock()
-	if away {
+	if unreachable {
 		return nil, 0, platform.ErrUnavailable
 	}
-	if silent {
+	if stalled {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
@@ -94,93 +94,93 @@
 	}
 }
 
-// asked is how many calls came.
-func (m *memory) asked() int {
+// callCount returns the number of calls so far.
+func (m *memoryStore) callCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-func (m *memory) set(change func(*memory)) {
+func (m *memoryStore) set(change func(*memoryStore)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(m)
 }
 
-// keptNode is one life of a node before the store.
-type keptNode struct {
+// archiveNode is one process of a node with an archive.
+type archiveNode struct {
 	*Table
 	archive *Archive
 }
 
-func startKept(t *testing.T, m *memory, reads bool) *keptNode {
+func startNode(t *testing.T, m *memoryStore, reads bool) *archiveNode {
 	t.Helper()
 	log, err := event.New(io.Discard, "error", "n", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	table := NewTable()
-	n := &keptNode{table, NewArchive(table, m, log, func() bool { return reads }, time.Now)}
+	n := &archiveNode{table, NewArchive(table, m, log, func() bool { return reads }, time.Now)}
 	if err := n.archive.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-func (n *keptNode) stop(t *testing.T) {
+func (n *archiveNode) stop(t *testing.T) {
 	t.Helper()
 	if err := n.archive.Stop(context.Background()); err != nil {
 		t.Error(err)
 	}
 }
 
-func (n *keptNode) crash(lives ...Life) {
+func (n *archiveNode) terminate(lives ...Life) {
 	for _, life := range lives {
 		n.Ended(time.Now(), 9, life, true)
 	}
 }
 
-// TestQuarantineOutlivesAllNodes: what the nodes knew of a request died with their processes; when all
-// of them lost power, the request had all upstreams to crash once more. The store keeps it, also
-// two ends that are not enough yet, and an answer that clears them.
-func TestQuarantineOutlivesAllNodes(t *testing.T) {
+// TestQuarantineSurvivesRestartOfAllNodes: the nodes' records were lost with their processes. When all
+// nodes lost power, the request had to crash all upstreams once more. The store keeps the quarantine,
+// two terminations that do not suffice yet, and a response that clears them.
+func TestQuarantineSurvivesRestartOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemory()
-		first := startKept(t, m, true)
+		m := newMemoryStore()
+		first := startNode(t, m, true)
 		time.Sleep(time.Second)
-		first.crash(1, 2)
+		first.terminate(1, 2)
 		time.Sleep(time.Second)
 		first.stop(t)
-		second := startKept(t, m, true)
+		second := startNode(t, m, true)
 		time.Sleep(time.Second)
-		second.crash(3)
+		second.terminate(3)
 		if v := second.Judge(time.Now(), 9); v.Quarantined == 0 {
-			t.Errorf("after a third end in a new life: %+v", v)
+			t.Errorf("after a third termination, in a restarted node: %+v", v)
 		}
 		time.Sleep(time.Second)
 		second.stop(t)
-		third := startKept(t, m, true)
+		third := startNode(t, m, true)
 		defer third.stop(t)
 		time.Sleep(time.Second)
 		if v := third.Judge(time.Now(), 9); v.Quarantined == 0 {
-			t.Errorf("in a life after that: %+v", v)
+			t.Errorf("in a node restarted after that: %+v", v)
 		}
 		third.Served(time.Now(), 9)
 		time.Sleep(time.Second)
-		fourth := startKept(t, m, true)
+		fourth := startNode(t, m, true)
 		defer fourth.stop(t)
 		time.Sleep(time.Second)
 		if v := fourth.Judge(time.Now(), 9); v != (Verdict{}) {
-			t.Errorf("after an answer: %+v", v)
+			t.Errorf("after a response: %+v", v)
 		}
 	})
 }
 
-// TestNodesThatHearOnlyTheStore: failure domains that are cut off from each other still reach the
-// store, and count together through it; nothing is lost to a race, a lost answer, an outage or an
-// object that somebody else wrote.
-func TestNodesThatHearOnlyTheStore(t *testing.T) {
-	known := func(t *testing.T, nodes ...*keptNode) {
+// TestPartitionedNodesMergeThroughStore: failure domains that are partitioned from each other still
+// reach the store, and their terminations add up through it. Nothing is lost to a race, a lost
+// response, an outage or a malformed object.
+func TestPartitionedNodesMergeThroughStore(t *testing.T) {
+	checkQuarantined := func(t *testing.T, nodes ...*archiveNode) {
 		t.Helper()
 		time.Sleep(5 * time.Second)
 		for i, n := range nodes {
@@ -189,73 +189,73 @@
 			}
 		}
 	}
-	for name, trouble := range map[string]func(m *memory){
-		"none":          func(*memory) {},
-		"a lost answer": func(m *memory) { m.lost = true },
-		"an unreadable value": func(m *memory) {
+	for name, fault := range map[string]func(m *memoryStore){
+		"none":            func(*memoryStore) {},
+		"a lost response": func(m *memoryStore) { m.loseResponse = true },
+		"an unreadable value": func(m *memoryStore) {
 			m.object = platform.Object{Key: archiveKey, Version: 1, Revision: 1, Value: []byte("{")}
 		},
-		"an outage": func(m *memory) { m.away = true },
+		"an outage": func(m *memoryStore) { m.unreachable = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := newMemory()
-				trouble(m)
-				a, b, c := startKept(t, m, true), startKept(t, m, true), startKept(t, m, true)
+				m := newMemoryStore()
+				fault(m)
+				a, b, c := startNode(t, m, true), startNode(t, m, true), startNode(t, m, true)
 				defer a.stop(t)
 				defer b.stop(t)
 				defer c.stop(t)
 				time.Sleep(time.Second)
-				a.crash(1, 2)
-				b.crash(2, 3)
+				a.terminate(1, 2)
+				b.terminate(2, 3)
 				time.Sleep(3 * time.Second)
-				m.set(func(m *memory) { m.away = false })
+				m.set(func(m *memoryStore) { m.unreachable = false })
 				time.Sleep(3 * time.Second)
-				c.crash(4)
-				known(t, a, b, c)
+				c.terminate(4)
+				checkQuarantined(t, a, b, c)
 			})
 		})
 	}
 }
 
-// TestWatchThatHangsIsLeft: a cut left a watch hanging; when the platform was known to be back, the
-// node went on waiting, and a request that others had put in quarantine came to it.
-func TestWatchThatHangsIsLeft(t *testing.T) {
+// TestRefreshCancelsHangingWatch: a partition left a watch hanging. When the platform was reachable
+// again, the node kept waiting, and received a request that others had put in quarantine.
+func TestRefreshCancelsHangingWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemory()
-		a, b := startKept(t, m, true), startKept(t, m, true)
+		m := newMemoryStore()
+		a, b := startNode(t, m, true), startNode(t, m, true)
 		defer a.stop(t)
 		defer b.stop(t)
 		time.Sleep(time.Second)
-		m.set(func(m *memory) { m.silent = true })
-		time.Sleep(archiveWait)
-		a.crash(1, 2, 3)
+		m.set(func(m *memoryStore) { m.stalled = true })
+		time.Sleep(watchTimeout)
+		a.terminate(1, 2, 3)
 		time.Sleep(time.Second)
-		m.set(func(m *memory) { m.silent = false })
+		m.set(func(m *memoryStore) { m.stalled = false })
 		b.archive.Refresh()
 		time.Sleep(time.Second)
 		if v := b.Judge(time.Now(), 9); v.Quarantined == 0 {
-			t.Errorf("a second after the platform is back: %+v", v)
+			t.Errorf("a second after the platform became reachable again: %+v", v)
 		}
 	})
 }
 
-// TestArchiveCostsFewCalls: an idle node asks the store every ten seconds, one that follows others
-// only once, and a request in quarantine costs each reader some calls.
-func TestArchiveCostsFewCalls(t *testing.T) {
+// TestArchiveMakesFewCalls: an idle node calls the store every ten seconds, one that follows others
+// calls it only once, and a request in quarantine costs each reader some calls.
+func TestArchiveMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemory()
-		reader, follower := startKept(t, m, true), startKept(t, m, false)
+		m := newMemoryStore()
+		reader, follower := startNode(t, m, true), startNode(t, m, false)
 		defer reader.stop(t)
 		defer follower.stop(t)
 		time.Sleep(100 * time.Second)
-		if calls := m.asked(); calls > 13 {
-			t.Errorf("%d calls in 100 s without news", calls)
+		if calls := m.callCount(); calls > 13 {
+			t.Errorf("%d calls in 100 s without changes", calls)
 		}
-		m.set(func(m *memory) { m.calls = 0 })
-		follower.crash(1, 2, 3)
+		m.set(func(m *memoryStore) { m.calls = 0 })
+		follower.terminate(1, 2, 3)
 		time.Sleep(9 * time.Second)
-		if calls := m.asked(); calls > 6 {
+		if calls := m.callCount(); calls > 6 {
 			t.Errorf("%d calls for one request", calls)
 		}
 	})
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -8,6 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// fullTable returns a table with n requests in quarantine.
 func fullTable(n int) *Table {
 	t := NewTable()
 	for i := range n {
@@ -18,12 +19,13 @@
 	return t
 }
 
-// BenchmarkRecord names what a request in quarantine costs: bytes held, told and stored.
+// BenchmarkRecord reports the size of a request in quarantine: bytes in memory, in messages and in the
+// store.
 func BenchmarkRecord(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	table := fullTable(mostProved)
+	table := fullTable(maxConfirmed)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	records := table.Proved(start)
@@ -38,15 +40,15 @@
 	for b.Loop() {
 		table.Judge(start, 7)
 	}
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/mostProved, "held-B/record")
-	b.ReportMetric(float64(message)/mostProved, "told-B/record")
-	b.ReportMetric(float64(len(stored))/mostProved, "stored-B/record")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/maxConfirmed, "held-B/record")
+	b.ReportMetric(float64(message)/maxConfirmed, "told-B/record")
+	b.ReportMetric(float64(len(stored))/maxConfirmed, "stored-B/record")
 	runtime.KeepAlive(table)
 }
 
-// BenchmarkEnded names what an end costs beside a table that is full.
+// BenchmarkEnded measures the cost of recording a termination in a full table.
 func BenchmarkEnded(b *testing.B) {
-	table := fullTable(mostProved)
+	table := fullTable(maxConfirmed)
 	i := 0
 	for b.Loop() {
 		i++
@@ -54,7 +56,7 @@
 	}
 }
 
-// BenchmarkFingerprint names what a request's fingerprint costs, with a body of 600 bytes.
+// BenchmarkFingerprint measures the cost of the fingerprint of a request with a body of 600 bytes.
 func BenchmarkFingerprint(b *testing.B) {
 	a := Asked{Team: "team", Method: "POST", Host: "host.example", Target: "/route/391ef8", Body: make([]byte, 600)}
 	for b.Loop() {
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,16 @@
-// Package quarantine recognizes requests that crash the upstreams that run them, and keeps
-// them from any more.
+// Package quarantine detects requests that crash the upstreams that run them, and stops them from
+// being sent.
 //
-// A Table counts, for each request by its fingerprint, the lives of upstream VMs that ended
-// while they ran it, since it was last answered. One that shared a VM with such a request is
-// counted too, so nothing is held against a request before three lives have ended under it: it
-// goes on at other VMs, apart from other suspects, and its first whole answer clears it.
-// The request that ends a third life, or a fourth in the company of other suspects, is kept in
-// quarantine: it is refused without being sent.
+// A Table counts, for each request by its fingerprint, the incarnations of upstream VMs that
+// terminated while they ran the request, since the request was last answered. A request that merely
+// shared a VM with a crashing one is counted too. A request is therefore not quarantined before three
+// incarnations have terminated under it: it is retried at other VMs, separate from other suspects, and
+// its first complete response clears it. The request under which a third incarnation terminates, or a
+// fourth one if other suspects ran there too, is put in quarantine: it is refused without being sent.
 //
-// Tables of different nodes are merged by records, which hold facts only (which life ended when,
-// when the request was last answered), so that the order and number of merges don't matter. News
-// go from node to node with their exchanges (Gossip). What two lives ended under is kept in the
-// platform's store as well (Archive), for nodes that start and for those that are cut off from
-// each other.
+// Tables of different nodes are merged by records. These hold facts only (which incarnation terminated
+// when, when the request was last answered), so that the order and number of merges do not matter.
+// Nodes send each other changes with their exchanges (Gossip). Requests under which two incarnations
+// terminated are also written to the platform's store (Archive), for nodes that start and for nodes
+// that are partitioned from each other.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint names what a caller asks for: the same path and body of the same team are the
-// same request, whichever ID a try of it carries and whichever node it comes to.
+// Fingerprint identifies what a caller requests. The same path and body of the same team are the same
+// request, whatever ID an attempt of it carries and whichever node receives it.
 type Fingerprint uint64
 
-// Asked is what a fingerprint is made of.
+// Request holds the parts of a request that make up its fingerprint.
 type Asked struct {
 	Team   string
 	Method string
@@ -23,8 +23,8 @@
 	Body   []byte
 }
 
-// Fingerprint is cryptographic, so that a team can't make up a request that counts as
-// another's. 64 bits are enough for the thousands of requests that are known at a time.
+// Fingerprint returns a cryptographic hash, so that a team cannot craft a request that is counted as
+// another team's. 64 bits are enough for the thousands of requests that are known at a time.
 func (a Asked) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, field := range [...]string{a.Team, a.Method, a.Host, a.Target} {
@@ -37,11 +37,11 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// ParseFingerprint reads a fingerprint as logs show it.
+// ParseFingerprint parses a fingerprint in the form that logs show.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	f, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != fingerprintDigits {
-		return 0, errors.Newf("%q is no fingerprint: it has %d hexadecimal digits", text, fingerprintDigits)
+		return 0, errors.Newf("%q is not a fingerprint: a fingerprint has %d hexadecimal digits", text, fingerprintDigits)
 	}
 	return Fingerprint(f), nil
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -9,83 +9,84 @@
 )
 
 const (
-	// mostTold bounds the records of one message, some 40 bytes each: an end of a full head
-	// makes some dozens, so what is left over goes with the next exchange, 0.3 s later.
-	mostTold = 256
-	// wholeInterval is the least time between two messages to a node with all proved records.
-	// Digests differ for some exchanges while news are on their way.
-	wholeInterval = time.Second
+	// maxMessageRecords bounds the records of one message, some 40 bytes each. A crash of a full head
+	// makes some dozens of records. What does not fit is sent with the next exchange, 0.3 s later.
+	maxMessageRecords = 256
+	// fullSyncInterval is the minimum time between two messages to a node that hold all confirmed
+	// records. Digests differ for some exchanges while updates are in transit.
+	fullSyncInterval = time.Second
 )
 
-// Gossip carries a table's news to other nodes with their exchanges and takes theirs. Each node
-// is told of each change once, and of all that is proved when the digests show that something was
-// missed: by a node that started, or over a cut.
+// Gossip sends a table's changes to other nodes with their exchanges, and merges the changes of
+// others. Each node is sent each change once. It is sent all confirmed records when the digests show
+// that it missed some, because it has started or was partitioned.
 type Gossip struct {
 	table *Table
 	log   *event.Logger
 
 	mu    sync.Mutex
-	peers map[string]*told
+	peers map[string]*peerState
 }
 
-// told is what one node was told.
-type told struct {
-	// asked and answered are the newest changes told with calls and with answers, sending the
-	// one of the call under way.
-	asked, answered, sending uint64
-	// differs is true when the node's digest was another one; wholeAt is when it was last told
-	// of all that is proved.
-	differs bool
-	wholeAt time.Time
+// peerState tracks what was sent to one node.
+type peerState struct {
+	// requestChange and responseChange are the newest changes sent in requests and in responses;
+	// pendingChange is that of the request in progress.
+	requestChange, responseChange, pendingChange uint64
+	// digestDiffers is true when the node's last digest differed from this node's. fullSentAt is when
+	// all confirmed records were last sent to the node.
+	digestDiffers bool
+	fullSentAt    time.Time
 }
 
 // NewGossip returns the gossip of a table.
 func NewGossip(table *Table, log *event.Logger) *Gossip {
-	return &Gossip{table: table, log: log, peers: make(map[string]*told)}
+	return &Gossip{table: table, log: log, peers: make(map[string]*peerState)}
 }
 
-// Ask implements cluster.Quarantine. Where all nodes call each other, relay is false: what a node
-// saw it tells all others itself. With relays one of eight nodes told 10,455 records of 800 ends in
-// place of 1,365.
+// Ask implements cluster.Quarantine and returns the message of a request to a node. Where all nodes
+// call each other, relay is false, since each node sends what it observed to all others itself. With
+// relays, one of eight nodes sent 10,455 records of 800 terminations instead of 1,365.
 func (g *Gossip) Ask(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
-	records, newest := g.table.Since(now, p.asked, mostTold, relay)
-	p.sending = newest
-	return g.news(now, p, records, p.differs)
+	records, lastChange := g.table.Since(now, p.requestChange, maxMessageRecords, relay)
+	p.pendingChange = lastChange
+	return g.message(now, p, records, p.digestDiffers)
 }
 
-// Asked implements cluster.Quarantine.
+// Asked implements cluster.Quarantine and merges the response to a request.
 func (g *Gossip) Asked(asked time.Time, peer string, news *marbleroadv1.QuarantineNews) {
-	g.hear(asked, peer, news)
+	g.receive(asked, peer, news)
 	digest := g.table.Digest(asked)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
-	p.asked = max(p.asked, p.sending)
-	p.differs = news != nil && news.GetDigest() != digest
+	p.requestChange = max(p.requestChange, p.pendingChange)
+	p.digestDiffers = news != nil && news.GetDigest() != digest
 }
 
-// Answer implements cluster.Quarantine.
+// Answer implements cluster.Quarantine: it merges the message of a request and returns that of the
+// response.
 func (g *Gossip) Answer(now time.Time, peer string, member bool, news *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
-	g.hear(now, peer, news)
+	g.receive(now, peer, news)
 	differs := news.GetDigest() != g.table.Digest(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
 	var records []Record
 	if member {
-		records, p.answered = g.table.Since(now, p.answered, mostTold, true)
+		records, p.responseChange = g.table.Since(now, p.responseChange, maxMessageRecords, true)
 	}
-	return g.news(now, p, records, differs)
+	return g.message(now, p, records, differs)
 }
 
-// news is a message with the records, and all that are proved if something was missed.
-func (g *Gossip) news(now time.Time, p *told, records []Record, differs bool) *marbleroadv1.QuarantineNews {
+// message returns a message with the records, and with all confirmed records if the peer missed some.
+func (g *Gossip) message(now time.Time, p *peerState, records []Record, differs bool) *marbleroadv1.QuarantineNews {
 	out := &marbleroadv1.QuarantineNews{Digest: g.table.Digest(now)}
-	if differs && now.Sub(p.wholeAt) >= wholeInterval {
-		p.wholeAt = now
+	if differs && now.Sub(p.fullSentAt) >= fullSyncInterval {
+		p.fullSentAt = now
 		records = append(records, g.table.Proved(now)...)
 	}
 	for _, r := range records {
@@ -94,8 +95,8 @@
 	return out
 }
 
-// hear takes what a node told; its ages count from the given moment.
-func (g *Gossip) hear(at time.Time, peer string, news *marbleroadv1.QuarantineNews) {
+// receive merges the records of a peer's message. Their ages count back from the given time.
+func (g *Gossip) receive(at time.Time, peer string, news *marbleroadv1.QuarantineNews) {
 	if len(news.GetRecords()) == 0 {
 		return
 	}
@@ -103,19 +104,20 @@
 	for _, r := range news.GetRecords() {
 		records = append(records, fromWire(at, r))
 	}
-	if learned := g.table.Merge(at, records); learned > 0 {
-		g.log.Emit(event.SuspectsHeard).Str("from", peer).Int("records", len(records)).Int("news", learned).Send()
+	if changed := g.table.Merge(at, records); changed > 0 {
+		g.log.Emit(event.SuspectsHeard).Str("from", peer).Int("records", len(records)).Int("news", changed).Send()
 	}
 }
 
-// peer is what a node was told. It is called with mu held.
-func (g *Gossip) peer(id string) *told {
+// peer returns the state of a node. The caller must hold mu.
+func (g *Gossip) peer(id string) *peerState {
 	if g.peers[id] == nil {
-		g.peers[id] = &told{}
+		g.peers[id] = &peerState{}
 	}
 	return g.peers[id]
 }
 
+// toWire encodes a record as a message, with ages in place of times.
 func toWire(now time.Time, r Record) *marbleroadv1.RequestRecord {
 	out := &marbleroadv1.RequestRecord{Fingerprint: uint64(r.Fingerprint), Proved: r.Proved}
 	for _, e := range r.Ends {
@@ -133,7 +135,7 @@
 	return out
 }
 
-// fromWire decodes a record. Ends without an age are left out.
+// fromWire decodes a record. Terminations without an age are left out.
 func fromWire(at time.Time, r *marbleroadv1.RequestRecord) Record {
 	out := Record{Fingerprint: Fingerprint(r.GetFingerprint()), Proved: r.GetProved()}
 	before := func(ms uint32) time.Time { return at.Add(-time.Duration(ms) * time.Millisecond) }
@@ -151,4 +153,5 @@
 	return out
 }
 
+// ageMS returns an age in milliseconds, 0 for a time in the future.
 func ageMS(now, at time.Time) uint32 { return uint32(max(now.Sub(at).Milliseconds(), 0)) }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,10 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Life names one life of an upstream VM.
+// Incarnation identifies one incarnation of an upstream VM by a hash.
 type Life uint32
 
-// LifeOf names the life of a VM that began at born, in Unix milliseconds; 0 while not known.
+// IncarnationOf returns the hash of a VM's incarnation that started at born, in Unix milliseconds;
+// born is 0 while it is not known.
 func LifeOf(vm string, born int64) Life {
 	var d xxhash.Digest
 	d.Reset()
@@ -21,60 +22,63 @@
 	return Life(d.Sum64())
 }
 
-// End is the end of a VM's life while it ran the request.
+// Termination records that an incarnation of a VM terminated while it ran the request.
 type End struct {
 	Life Life
 	At   time.Time
 }
 
-// Record is what is known of one request. Its fields only grow, but for ends before ClearedAt and a
-// quarantine before it, which no longer count.
+// Record holds what is known of one request. It only grows, except that terminations before ClearedAt
+// and a quarantine before ClearedAt are dropped.
 type Record struct {
 	Fingerprint Fingerprint
-	// Ends are the lives that ended under the request since it was last answered, the oldest
-	// first, mostEnds at most.
+	// Terminations lists the incarnations that terminated under the request since it was last
+	// answered, the oldest first, at most maxTerminations.
 	Ends []End
-	// ClearedAt is when the request was last answered; zero for not since it is known.
+	// ClearedAt is when the request was last answered; zero when it has not been answered since the
+	// record exists.
 	ClearedAt time.Time
-	// QuarantinedAt is when it was put in quarantine; zero when it is not.
+	// QuarantinedAt is when the request was put in quarantine; zero when it is not in quarantine.
 	QuarantinedAt time.Time
-	// Proved is true once two lives ended under the request, also when it was cleared since.
+	// Confirmed is true once two incarnations have terminated under the request, even if it has been
+	// cleared since.
 	Proved bool
 
-	// change is the table's number of the newest change.
+	// change is the table's sequence number of the record's newest change.
 	change uint64
-	// firstHand is true when this node saw an end or an answer of the request itself.
-	firstHand bool
+	// observedHere is true when this node itself observed a termination or a response of the request.
+	observedHere bool
 }
 
 const (
-	// endsToProve is from how many ends on a record is worth keeping for other nodes and lives
-	// of nodes: a single end is mostly a VM that crashed by itself.
-	endsToProve = 2
-	// endsToQuarantine is how many lives must have ended under a request that was alone among
-	// suspects at the last one. Two are chance at times: VMs of a failing host end together.
-	endsToQuarantine = 3
-	// endsInCompany is the same where other suspects were at the last one too.
-	endsInCompany = 4
-	// mostEnds bounds the ends that are kept.
-	mostEnds = endsInCompany
+	// terminationsToConfirm is the number of terminations from which a record is kept for other nodes
+	// and for restarted nodes. A single termination is mostly a VM that crashed by itself.
+	terminationsToConfirm = 2
+	// terminationsToQuarantine is how many incarnations must have terminated under a request that was
+	// the only suspect at the last one. Two can be coincidence: VMs of a failing host terminate
+	// together.
+	terminationsToQuarantine = 3
+	// terminationsAmongSuspects is the same for a request with other suspects at the last termination.
+	terminationsAmongSuspects = 4
+	// maxTerminations bounds the terminations that a record keeps.
+	maxTerminations = terminationsAmongSuspects
 )
 
 const (
-	// suspectFor is how long a single end counts: callers that try again do so within their
-	// patience, some seconds.
-	suspectFor = 30 * time.Second
-	// provedFor is how long two ends or more count.
-	provedFor = 10 * time.Minute
-	// quarantinedFor is how long a request is kept from upstreams. Engines are mended and
-	// replaced within hours; a request that still crashes them costs three more then.
-	quarantinedFor = time.Hour
-	// clearedFor is how long a record without ends is kept, so that nodes which have not heard of
-	// the answer don't bring the ends back.
-	clearedFor = 30 * time.Second
+	// suspectRetention is how long a single termination counts. Callers retry within their retry
+	// window, which is some seconds.
+	suspectRetention = 30 * time.Second
+	// confirmedRetention is how long two or more terminations count.
+	confirmedRetention = 10 * time.Minute
+	// quarantineDuration is how long a request is not sent to upstreams. Engines are repaired and
+	// replaced within hours; a request that still crashes them costs three more incarnations then.
+	quarantineDuration = time.Hour
+	// clearedRetention is how long a record without terminations is kept, so that nodes that have not
+	// learned of the response do not bring the terminations back.
+	clearedRetention = 30 * time.Second
 )
 
-// Until is when the record ends.
+// ExpiresAt returns when the record expires.
 func (r *Record) Until() time.Time {
 	newest := r.ClearedAt
 	if n := len(r.Ends); n > 0 && r.Ends[n-1].At.After(newest) {
@@ -82,36 +86,36 @@
 	}
 	switch {
 	case !r.QuarantinedAt.IsZero():
-		return r.QuarantinedAt.Add(quarantinedFor)
+		return r.QuarantinedAt.Add(quarantineDuration)
 	case r.Proved:
-		return newest.Add(provedFor)
+		return newest.Add(confirmedRetention)
 	case len(r.Ends) > 0:
-		return newest.Add(suspectFor)
+		return newest.Add(suspectRetention)
 	}
-	return newest.Add(clearedFor)
+	return newest.Add(clearedRetention)
 }
 
-// add takes an end; it reports whether it was new.
+// add adds a termination and reports whether it was new.
 func (r *Record) add(e End) bool {
 	if !e.At.After(r.ClearedAt) || slices.ContainsFunc(r.Ends, func(k End) bool { return k.Life == e.Life }) {
 		return false
 	}
-	if len(r.Ends) == mostEnds {
+	if len(r.Ends) == maxTerminations {
 		return false
 	}
 	at, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
 	r.Ends = slices.Insert(r.Ends, at, e)
-	r.Proved = r.Proved || len(r.Ends) >= endsToProve
-	if len(r.Ends) >= endsInCompany && r.QuarantinedAt.IsZero() {
-		// Also when no node saw that many itself, but several together.
+	r.Proved = r.Proved || len(r.Ends) >= terminationsToConfirm
+	if len(r.Ends) >= terminationsAmongSuspects && r.QuarantinedAt.IsZero() {
+		// This also applies when no single node observed that many, but several nodes together did.
 		r.QuarantinedAt = r.Ends[len(r.Ends)-1].At
 	}
 	return true
 }
 
-// clear takes an answer; it reports whether that is news: the first answer, or one after something
-// that was held against the request. Else two nodes would tell each other of the same answer again
-// and again, each time a little later by the time on the way.
+// clear records a response at the given time. It reports whether that changes the record: it does if
+// this is the first response, or one after a termination or a quarantine. Otherwise two nodes would
+// keep sending each other the same response, each time a little later by the time in transit.
 func (r *Record) clear(at time.Time) bool {
 	ended := len(r.Ends) > 0 && !r.Ends[0].At.After(at)
 	quarantined := !r.QuarantinedAt.IsZero() && !r.QuarantinedAt.After(at)
@@ -126,43 +130,43 @@
 	return true
 }
 
-// merge takes what another record of the same request holds; it reports whether any is news.
+// merge adds what another record of the same request holds, and reports whether that changes this one.
 func (r *Record) merge(other Record) bool {
-	news := !other.ClearedAt.IsZero() && r.clear(other.ClearedAt)
+	changed := !other.ClearedAt.IsZero() && r.clear(other.ClearedAt)
 	for _, e := range other.Ends {
 		if r.add(e) {
-			news = true
+			changed = true
 		}
 	}
 	if other.QuarantinedAt.After(r.ClearedAt) && r.QuarantinedAt.IsZero() {
 		r.QuarantinedAt = other.QuarantinedAt
-		news = true
+		changed = true
 	}
 	if other.Proved && !r.Proved {
 		r.Proved = true
-		news = true
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// sum is a number that two records share when they say the same, but for times.
-func (r *Record) sum() uint64 {
+// contentHash returns a hash that two records share if they have the same content apart from times.
+func (r *Record) contentHash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	word := func(v uint64) {
+	write := func(v uint64) {
 		for range 8 {
 			_, _ = d.Write([]byte{byte(v)})
 			v >>= 8
 		}
 	}
-	word(uint64(r.Fingerprint))
-	lives := uint64(0)
+	write(uint64(r.Fingerprint))
+	sum := uint64(0)
 	for _, e := range r.Ends {
-		lives += uint64(e.Life)*2 + 1
+		sum += uint64(e.Life)*2 + 1
 	}
-	word(lives)
+	write(sum)
 	if !r.QuarantinedAt.IsZero() {
-		word(1)
+		write(1)
 	}
 	return d.Sum64()
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	// mostRecords bounds a table, some 280 bytes a record: a crash of a full head adds some
-	// dozens. Beyond it those that are kept for the shortest time go first.
-	mostRecords = 4096
-	// mostProved bounds the records that all nodes keep and the store holds, some 150 bytes
-	// each there.
-	mostProved = 1024
-	// sweepInterval is the time between two looks for records to drop.
+	// maxRecords bounds a table, which takes some 280 bytes per record. A crash of a full head adds
+	// some dozens of records. Beyond the bound, the records that expire first are dropped first.
+	maxRecords = 4096
+	// maxConfirmed bounds the confirmed records, which all nodes keep and the store holds. A record
+	// takes some 150 bytes in the store.
+	maxConfirmed = 1024
+	// sweepInterval is the time between two sweeps for expired records.
 	sweepInterval = time.Second
 )
 
-// Table is what one node knows of requests under which upstreams ended. It may be used from any
-// goroutine. Times are of the node's clock.
+// Table holds what one node knows of requests under which upstreams terminated. It is safe for
+// concurrent use. Times are of the node's clock.
 type Table struct {
 	mu      sync.Mutex
 	records map[Fingerprint]*Record
-	// proved counts the records that are proved, digest is the sum over them.
-	proved int
-	digest uint64
+	// confirmed counts the confirmed records; digest is the XOR of their content hashes.
+	confirmed int
+	digest    uint64
 	// changes counts the changes of records.
 	changes uint64
 	sweptAt time.Time
-	// onQuarantine is told of each request that is put in quarantine, here or elsewhere.
+	// onQuarantine are called with each request that is put in quarantine, by this node or another.
 	onQuarantine []func(Fingerprint)
-	// onProved is told when this node learns at first hand what others must keep.
-	onProved []func()
+	// onConfirmed are called when this node itself observes a change of a confirmed record.
+	onConfirmed []func()
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: make(map[Fingerprint]*Record)} }
 
-// OnQuarantine registers a function that is told of each request put in quarantine. It must be
-// called before the table is used.
+// OnQuarantine registers a function that is called with each request that is put in quarantine. It
+// must be called before the table is used.
 func (t *Table) OnQuarantine(f func(Fingerprint)) { t.onQuarantine = append(t.onQuarantine, f) }
 
-// OnProved registers a function that is told when this node itself has learned something that
-// others must keep. It must be called before the table is used.
-func (t *Table) OnProved(f func()) { t.onProved = append(t.onProved, f) }
+// OnConfirmed registers a function that is called when this node itself observes a change of a
+// confirmed record, which others must keep. It must be called before the table is used.
+func (t *Table) OnProved(f func()) { t.onConfirmed = append(t.onConfirmed, f) }
 
-// Verdict is what a table says of a request.
+// Verdict is a table's judgement of a request.
 type Verdict struct {
-	// Ends is how many lives ended under it since it was last answered.
+	// Terminations is how many incarnations terminated under the request since it was last answered.
 	Ends int
-	// Quarantined is how long it is still kept from upstreams; 0 when it is not.
+	// Quarantined is how long the request remains in quarantine; 0 when it is not in quarantine.
 	Quarantined time.Duration
 }
 
-// Suspected reports whether the request is kept apart from other suspects.
-func (v Verdict) Suspected() bool { return v.Ends >= endsToProve }
+// Suspected reports whether the request must run separate from other suspects.
+func (v Verdict) Suspected() bool { return v.Ends >= terminationsToConfirm }
 
-// Judge says what is known of a request.
+// Judge returns the verdict on a request.
 func (t *Table) Judge(now time.Time, f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,34 +72,35 @@
 	return v
 }
 
-// Ended notes that a VM's life ended while it ran the request. alone is true when no other
-// suspect was at the VM.
-func (t *Table) Ended(now time.Time, f Fingerprint, life Life, alone bool) Verdict {
+// RecordTermination records that a VM's incarnation terminated while it ran the request. onlySuspect
+// is true when the VM ran no other suspect.
+func (t *Table) Ended(now time.Time, f Fingerprint, life Life, onlySuspect bool) Verdict {
 	t.mu.Lock()
 	t.sweep(now)
 	r := t.record(f)
-	r.firstHand = true
-	before := r.QuarantinedAt.IsZero()
-	news := r.add(End{life, now})
-	if alone && r.QuarantinedAt.IsZero() && len(r.Ends) >= endsToQuarantine {
+	r.observedHere = true
+	wasFree := r.QuarantinedAt.IsZero()
+	changed := r.add(End{life, now})
+	if onlySuspect && r.QuarantinedAt.IsZero() && len(r.Ends) >= terminationsToQuarantine {
 		r.QuarantinedAt = now
 	}
-	caught := before && !r.QuarantinedAt.IsZero()
-	if news || caught {
-		t.changed(r)
+	quarantined := wasFree && !r.QuarantinedAt.IsZero()
+	if changed || quarantined {
+		t.markChanged(r)
 	}
-	proved := r.Proved && (news || caught)
+	confirmed := r.Proved && (changed || quarantined)
 	t.mu.Unlock()
-	if caught {
-		t.tell(f)
+	if quarantined {
+		t.notifyQuarantined(f)
 	}
-	if proved {
-		t.tellProved()
+	if confirmed {
+		t.notifyConfirmed()
 	}
 	return t.Judge(now, f)
 }
 
-// Served notes that the request was answered whole: it does not crash what runs it.
+// RecordSuccess records that the request got a complete response, so it does not crash the upstreams
+// that run it.
 func (t *Table) Served(now time.Time, f Fingerprint) {
 	t.mu.Lock()
 	r := t.records[f]
@@ -107,22 +108,22 @@
 		t.mu.Unlock()
 		return
 	}
-	r.firstHand = true
-	news := r.clear(now)
-	if news {
-		t.changed(r)
+	r.observedHere = true
+	changed := r.clear(now)
+	if changed {
+		t.markChanged(r)
 	}
-	proved := r.Proved
+	confirmed := r.Proved
 	t.mu.Unlock()
-	if news && proved {
-		t.tellProved()
+	if changed && confirmed {
+		t.notifyConfirmed()
 	}
 }
 
-// Merge takes records of another node or of the store; it returns how many held news.
+// Merge merges records of another node or of the store. It returns how many of them changed the table.
 func (t *Table) Merge(now time.Time, records []Record) int {
-	var caught []Fingerprint
-	news := 0
+	var quarantined []Fingerprint
+	changed := 0
 	t.mu.Lock()
 	t.sweep(now)
 	for _, other := range records {
@@ -130,31 +131,31 @@
 			continue
 		}
 		r := t.record(other.Fingerprint)
-		before := r.QuarantinedAt.IsZero()
+		wasFree := r.QuarantinedAt.IsZero()
 		if !r.merge(other) {
 			continue
 		}
-		news++
-		t.changed(r)
-		if before && !r.QuarantinedAt.IsZero() {
-			caught = append(caught, r.Fingerprint)
+		changed++
+		t.markChanged(r)
+		if wasFree && !r.QuarantinedAt.IsZero() {
+			quarantined = append(quarantined, r.Fingerprint)
 		}
 	}
 	t.mu.Unlock()
-	for _, f := range caught {
-		t.tell(f)
+	for _, f := range quarantined {
+		t.notifyQuarantined(f)
 	}
-	return news
+	return changed
 }
 
-// Known reports whether anything is known of any request.
+// HasRecords reports whether the table holds any record.
 func (t *Table) Known() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records) > 0
 }
 
-// Digest is a number that two tables share when their proved records say the same.
+// Digest returns a hash that two tables share if their confirmed records have the same content.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,26 +163,26 @@
 	return t.digest
 }
 
-// Since returns the records that changed after the given change, the newest change last and at
-// most that many, and the number of the newest change among them. Without relay it leaves out what
-// this node has from others and is not proved.
-func (t *Table) Since(now time.Time, change uint64, most int, relay bool) ([]Record, uint64) {
+// ChangedSince returns the records that changed after the given change, the newest change last and at
+// most limit of them, and the number of the newest change among them. Without relay it leaves out
+// unconfirmed records that this node only received from others.
+func (t *Table) Since(now time.Time, change uint64, limit int, relay bool) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	if t.changes == change {
 		return nil, change
 	}
-	out := t.collect(func(r *Record) bool { return r.change > change && (relay || r.firstHand || r.Proved) })
+	out := t.collect(func(r *Record) bool { return r.change > change && (relay || r.observedHere || r.Proved) })
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.change, b.change) })
-	if len(out) > most {
-		out = out[:most]
-		return out, out[most-1].change
+	if len(out) > limit {
+		out = out[:limit]
+		return out, out[limit-1].change
 	}
 	return out, t.changes
 }
 
-// Proved returns the proved records.
+// Confirmed returns the confirmed records.
 func (t *Table) Proved(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,7 +192,8 @@
 	return out
 }
 
-// All returns all records, those in quarantine first and then those under which most lives ended.
+// Suspects returns all records with terminations: those in quarantine first, then those with the most
+// terminations.
 func (t *Table) All(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,11 +205,11 @@
 	return out
 }
 
-// collect copies the records that are wanted. It is called with mu held.
-func (t *Table) collect(wanted func(*Record) bool) []Record {
+// collect returns copies of the selected records. The caller must hold mu.
+func (t *Table) collect(selected func(*Record) bool) []Record {
 	var out []Record
 	for _, r := range t.records {
-		if wanted(r) {
+		if selected(r) {
 			copied := *r
 			copied.Ends = slices.Clone(r.Ends)
 			out = append(out, copied)
@@ -216,14 +218,14 @@
 	return out
 }
 
-func (t *Table) tell(f Fingerprint) {
+func (t *Table) notifyQuarantined(f Fingerprint) {
 	for _, each := range t.onQuarantine {
 		each(f)
 	}
 }
 
-func (t *Table) tellProved() {
-	for _, each := range t.onProved {
+func (t *Table) notifyConfirmed() {
+	for _, each := range t.onConfirmed {
 		each()
 	}
 }
@@ -238,29 +240,29 @@
 	return r
 }
 
-// changed numbers a record's change.
-func (t *Table) changed(r *Record) {
+// markChanged gives a changed record the next change number.
+func (t *Table) markChanged(r *Record) {
 	t.changes++
 	r.change = t.changes
 	if r.Proved {
-		t.count()
+		t.recount()
 	}
 }
 
-// count sums up what is proved.
-func (t *Table) count() {
-	t.proved, t.digest = 0, 0
+// recount recomputes the number and the digest of the confirmed records.
+func (t *Table) recount() {
+	t.confirmed, t.digest = 0, 0
 	for _, r := range t.records {
 		if r.Proved {
-			t.proved++
-			t.digest ^= r.sum()
+			t.confirmed++
+			t.digest ^= r.contentHash()
 		}
 	}
 }
 
-// sweep drops the records whose time is up, and those beyond the bounds.
+// sweep drops the expired records, and those beyond the bounds.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.sweptAt) < sweepInterval && len(t.records) < mostRecords {
+	if now.Sub(t.sweptAt) < sweepInterval && len(t.records) < maxRecords {
 		return
 	}
 	t.sweptAt = now
@@ -270,27 +272,26 @@
 			delete(t.records, f)
 		}
 	}
-	t.bound(mostProved, func(r *Record) bool { return r.Proved })
-	t.bound(mostRecords/2, func(*Record) bool { return len(t.records) >= mostRecords })
+	t.bound(maxConfirmed, func(r *Record) bool { return r.Proved })
+	t.bound(maxRecords/2, func(*Record) bool { return len(t.records) >= maxRecords })
 	if len(t.records) != before {
-		t.count()
+		t.recount()
 	}
 }
 
-// bound drops those of the given records that are kept for the shortest time until at most that
-// many are left.
-func (t *Table) bound(most int, of func(*Record) bool) {
+// bound drops, of the selected records, those that expire first until at most limit are left.
+func (t *Table) bound(limit int, selected func(*Record) bool) {
 	var all []*Record
 	for _, r := range t.records {
-		if of(r) {
+		if selected(r) {
 			all = append(all, r)
 		}
 	}
-	if len(all) <= most {
+	if len(all) <= limit {
 		return
 	}
 	slices.SortFunc(all, func(a, b *Record) int { return a.Until().Compare(b.Until()) })
-	for _, r := range all[:len(all)-most] {
+	for _, r := range all[:len(all)-limit] {
 		delete(t.records, r.Fingerprint)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -289,35 +289,35 @@
   's/if !b\.serves\(c\)/if false/' ./internal/gateway TestMadeUpNamesLeaveNothingBehind
 
 mutant "ends are not counted together" internal/quarantine/record.go \
-  's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestNodesCountTogether
+  's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestTerminationsOfMergedTablesAddUp
 mutant "two ends are enough" internal/quarantine/record.go \
-  's/endsToQuarantine = 3/endsToQuarantine = 2/' ./internal/quarantine TestVerdicts
+  's/terminationsToQuarantine = 3/terminationsToQuarantine = 2/' ./internal/quarantine TestVerdicts
 mutant "company does not matter" internal/quarantine/table.go \
-  's/if alone \&\& /if /' ./internal/quarantine TestVerdicts
+  's/if onlySuspect \&\& /if /' ./internal/quarantine TestVerdicts
 mutant "an answer clears nothing" internal/quarantine/record.go \
-  's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesAgree'
+  's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesConverge'
 mutant "a request in quarantine is sent" internal/gateway/suspects.go \
   's/case j\.c\.judged\.Quarantined > 0:/case false:/' ./internal/gateway TestRequestThatCrashesUpstreamsEnds
 mutant "ends of upstreams are attempts" internal/gateway/suspects.go \
   's/j\.ended\+\+\n/_ = j.ended\n/' ./internal/gateway TestUpstreamsThatCrashCostNoAnswer
 mutant "the table is not bounded" internal/quarantine/table.go \
-  's/t\.bound\(mostProved/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
+  's/t\.bound\(maxConfirmed/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
 mutant "news are not told" internal/quarantine/gossip.go \
   's/for _, r := range records \{\n\t\tout\.Records/for _, r := range records[:0] {\n\t\tout.Records/' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what was missed is not told anew" internal/quarantine/gossip.go \
   's/if differs \&\& /if false \&\& /' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what others told is passed on to all" internal/quarantine/gossip.go \
-  's/p\.asked, mostTold, relay/p.asked, mostTold, relay || true/' ./internal/cluster TestManyCrashesAreToldInBounds
+  's/p\.requestChange, maxMessageRecords, relay/p.requestChange, maxMessageRecords, relay || true/' ./internal/cluster TestManyCrashesAreToldInBounds
 mutant "the store is not read at the start" internal/quarantine/archive.go \
-  's/if !first \&\& !a\.reads\(\)/if first || !a.reads()/' ./internal/quarantine TestQuarantineOutlivesAllNodes
+  's/if !firstRead \&\& !a\.reads\(\)/if firstRead || !a.reads()/' ./internal/quarantine TestQuarantineSurvivesRestartOfAllNodes
 mutant "what the store holds is not taken" internal/quarantine/archive.go \
-  's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestNodesThatHearOnlyTheStore
+  's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestPartitionedNodesMergeThroughStore
 mutant "the store is asked every second" internal/quarantine/archive.go \
-  's/archiveWait = 10 \* time\.Second/archiveWait = time.Second/' ./internal/quarantine TestArchiveCostsFewCalls
+  's/watchTimeout = 10 \* time\.Second/watchTimeout = time.Second/' ./internal/quarantine TestArchiveMakesFewCalls
 mutant "each answer that is told is news" internal/quarantine/record.go \
-  's/ended := len\(r\.Ends\) > 0 \&\& !r\.Ends\[0\]\.At\.After\(at\)/ended := len(r.Ends) == 0/' ./internal/quarantine TestMergesAgree
+  's/ended := len\(r\.Ends\) > 0 \&\& !r\.Ends\[0\]\.At\.After\(at\)/ended := len(r.Ends) == 0/' ./internal/quarantine TestMergesConverge
 mutant "a hanging watch is waited for" internal/quarantine/archive.go \
-  's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestWatchThatHangsIsLeft
+  's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestRefreshCancelsHangingWatch
 mutant "a suspension does not count" internal/clock/clock.go \
   's/return now\.Add\(Suspended\(\)\)/return now/' ./internal/gateway 'TestKeysEndOverASuspension|TestTimeLeftOverASuspension'
 mutant "only members are named as leading" internal/cluster/share.go \
