--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -9,23 +9,23 @@
 var (
 	start       = time.Unix(1_000_000, 0)
 	onlyNode    = func() Sharing { return Sharing{Self: "n", Nodes: []string{"n"}} }
-	incarnation = Life{VM: "vm", Born: 7}
+	incarnation = Incarnation{VM: "vm", Born: 7}
 )
 
 func at(seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func reportLimit(limit float64) Notice { return Notice{Limited: true, Limit: limit} }
+func reportLimit(limit float64) Signals { return Signals{Limited: true, Limit: limit} }
 
 // countSent returns how many requests a node sends within a period if it always has a request to send.
 func countSent(t *Table, from, to float64, s func() Sharing) int {
 	count := 0
 	for now := from; now < to; now += 0.01 {
-		if t.Check(at(now), incarnation, 0, s).Back {
+		if t.Check(at(now), incarnation, 0, s).Throttled {
 			continue
 		}
-		t.Sent(at(now), incarnation)
+		t.RecordSent(at(now), incarnation)
 		count++
 	}
 	return count
@@ -34,7 +34,7 @@
 func TestLimitBoundsRequestRate(t *testing.T) {
 	for _, limit := range []float64{0, 0.4, 1.7, 30} {
 		table := NewTable()
-		table.Heard(at(0), at(0), incarnation, reportLimit(limit))
+		table.Observe(at(0), at(0), incarnation, reportLimit(limit))
 		for from := 0.0; from < 40; from += 4 {
 			if got, maxSent := countSent(table, from, from+4, onlyNode), 6*limit+5; float64(got) > maxSent {
 				t.Errorf("%d requests in 4 s at a limit of %v", got, limit)
@@ -47,26 +47,26 @@
 // request sent before the limit was reported must not clear it.
 func TestEarlierResponseDoesNotClearLimit(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(2), at(1), incarnation, reportLimit(1))
-	if change := table.Heard(at(3), at(1.5), incarnation, Notice{}); change != Unchanged {
+	table.Observe(at(2), at(1), incarnation, reportLimit(1))
+	if change := table.Observe(at(3), at(1.5), incarnation, Signals{}); change != Unchanged {
 		t.Errorf("a response to an earlier request changed the limit: %d", change)
 	}
-	if change := table.Heard(at(4), at(3), incarnation, Notice{}); change != LimitEnded {
+	if change := table.Observe(at(4), at(3), incarnation, Signals{}); change != LimitCleared {
 		t.Errorf("a response to a later request returned change %d", change)
 	}
-	if change, _ := table.Told(at(4), Record{Life: incarnation, Limited: true, Limit: 1, At: at(2)}, true); change != Unchanged {
+	if change, _ := table.Merge(at(4), Record{Incarnation: incarnation, Limited: true, Limit: 1, At: at(2)}, true); change != Unchanged {
 		t.Errorf("an older record of another node changed the limit: %d", change)
 	}
 }
 
 func TestLimitEndsWithIncarnation(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, reportLimit(0))
-	next := Life{VM: "vm", Born: 8}
+	table.Observe(at(0), at(0), incarnation, reportLimit(0))
+	next := Incarnation{VM: "vm", Born: 8}
 	if _, limited := table.Limit(next); limited {
 		t.Error("the next incarnation has the limit of the previous one")
 	}
-	table.Sweep(at(1), func(string) (Life, bool) { return next, true })
+	table.Sweep(at(1), func(string) (Incarnation, bool) { return next, true })
 	if _, limited := table.Limit(incarnation); limited {
 		t.Error("the limit is kept after its incarnation has ended")
 	}
@@ -76,8 +76,8 @@
 // reachable again.
 func TestLimitIsKeptWhileEntryLapses(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, reportLimit(1))
-	unlisted := func(string) (Life, bool) { return Life{}, false }
+	table.Observe(at(0), at(0), incarnation, reportLimit(1))
+	unlisted := func(string) (Incarnation, bool) { return Incarnation{}, false }
 	table.Sweep(at(1), unlisted)
 	table.Sweep(at(30), unlisted)
 	if _, limited := table.Limit(incarnation); !limited {
@@ -100,7 +100,7 @@
 		sum := 0.0
 		for _, self := range nodes {
 			rate := Sharing{Self: self, Nodes: nodes}.rate("vm", limit)
-			remote := Sharing{Self: self, Nodes: nodes, Foreign: true}.rate("vm", limit)
+			remote := Sharing{Self: self, Nodes: nodes, Remote: true}.rate("vm", limit)
 			for _, r := range []float64{rate, remote} {
 				if r > 0 {
 					sum += 4*r + maxBurst + r*burstWindow.Seconds()
@@ -116,7 +116,7 @@
 // TestNewHolderWaits: the previous holder may not have learned of the new one yet.
 func TestNewHolderWaits(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, reportLimit(4))
+	table.Observe(at(0), at(0), incarnation, reportLimit(4))
 	if got := countSent(table, 0, 1, onlyNode); got != 0 {
 		t.Errorf("%d requests in the first second", got)
 	}
@@ -131,12 +131,12 @@
 // of a limit.
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, reportLimit(2))
+	table.Observe(at(0), at(0), incarnation, reportLimit(2))
 	sent := make(map[float64]int)
 	for now := 0.0; now < 30; now += 0.01 {
 		for _, reserve := range []float64{0.3, 0} {
-			if !table.Check(at(now), incarnation, reserve, onlyNode).Back {
-				table.Sent(at(now), incarnation)
+			if !table.Check(at(now), incarnation, reserve, onlyNode).Throttled {
+				table.RecordSent(at(now), incarnation)
 				sent[reserve]++
 			}
 		}
@@ -149,7 +149,7 @@
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 2 * maxVMs {
-		table.Heard(at(float64(i)), at(float64(i)), Life{VM: fmt.Sprint(i)}, reportLimit(1))
+		table.Observe(at(float64(i)), at(float64(i)), Incarnation{VM: fmt.Sprint(i)}, reportLimit(1))
 	}
 	if len(table.vms) != maxVMs {
 		t.Errorf("%d VMs in the table", len(table.vms))
@@ -165,15 +165,15 @@
 	}
 }
 
-func backoffOf(seconds float64) Notice {
-	return Notice{Refused: true, Rest: time.Duration(seconds * float64(time.Second))}
+func backoffOf(seconds float64) Signals {
+	return Signals{Refused: true, Backoff: time.Duration(seconds * float64(time.Second))}
 }
 
 func TestBackoffIsKept(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, backoffOf(3))
-	table.Heard(at(0.1), at(0), incarnation, backoffOf(1))
-	table.Heard(at(0.2), at(0), incarnation, Notice{})
+	table.Observe(at(0), at(0), incarnation, backoffOf(3))
+	table.Observe(at(0.1), at(0), incarnation, backoffOf(1))
+	table.Observe(at(0.2), at(0), incarnation, Signals{})
 	if got := countSent(table, 0.2, 3, onlyNode); got != 0 {
 		t.Errorf("%d requests during the backoff", got)
 	}
@@ -182,15 +182,15 @@
 // TestSingleProbeAfterBackoff: without probing, all requests that waited would be sent at once.
 func TestSingleProbeAfterBackoff(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, backoffOf(3))
+	table.Observe(at(0), at(0), incarnation, backoffOf(3))
 	if got := countSent(table, 3, 3.9, onlyNode); got != 1 {
 		t.Errorf("%d requests before the first response", got)
 	}
-	table.Heard(at(4), at(3), incarnation, Notice{Refused: true})
+	table.Observe(at(4), at(3), incarnation, Signals{Refused: true})
 	if got := countSent(table, 4.1, 4.9, onlyNode); got != 1 {
 		t.Errorf("%d requests after a rejected request", got)
 	}
-	table.Heard(at(5), at(4), incarnation, Notice{})
+	table.Observe(at(5), at(4), incarnation, Signals{})
 	if got := countSent(table, 5, 5.5, onlyNode); got < 40 {
 		t.Errorf("%d requests after an accepted request", got)
 	}
@@ -200,8 +200,8 @@
 // requests until its incarnation ends.
 func TestBackoffIsBounded(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, backoffOf(1e9))
-	if hold := table.Check(at(3700), incarnation, 0, onlyNode); hold.Back {
+	table.Observe(at(0), at(0), incarnation, backoffOf(1e9))
+	if hold := table.Check(at(3700), incarnation, 0, onlyNode); hold.Throttled {
 		t.Errorf("still throttled for %v after an hour", hold.Wait)
 	}
 }
@@ -210,7 +210,7 @@
 // be idle.
 func TestBackoffIsNotShared(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), incarnation, backoffOf(3))
+	table.Observe(at(0), at(0), incarnation, backoffOf(3))
 	if records := table.Records(64); len(records) > 0 {
 		t.Errorf("the backoff is sent to other nodes: %v", records)
 	}
@@ -220,11 +220,11 @@
 // incarnation.
 func TestRecordOfPreviousIncarnationIsIgnored(t *testing.T) {
 	table := NewTable()
-	table.Heard(at(0), at(0), Life{VM: "vm", Born: 8}, reportLimit(1))
-	if change, leaving := table.Told(at(1), Record{Life: incarnation, Leaving: true, Limited: true, Limit: 9, At: at(1)}, true); change != Unchanged || leaving {
+	table.Observe(at(0), at(0), Incarnation{VM: "vm", Born: 8}, reportLimit(1))
+	if change, leaving := table.Merge(at(1), Record{Incarnation: incarnation, Leaving: true, Limited: true, Limit: 9, At: at(1)}, true); change != Unchanged || leaving {
 		t.Errorf("the record changed %d, leaving %v", change, leaving)
 	}
-	if r, limited := table.Limit(Life{VM: "vm", Born: 8}); !limited || r.Limit != 1 {
+	if r, limited := table.Limit(Incarnation{VM: "vm", Born: 8}); !limited || r.Limit != 1 {
 		t.Errorf("the new incarnation has the limit %+v", r)
 	}
 }
@@ -232,15 +232,15 @@
 // TestRecordOfRemovedVMExpiresAtAllNodes: nodes that had forgotten the VM received its record again
 // from nodes that had not.
 func TestRecordOfRemovedVMExpiresAtAllNodes(t *testing.T) {
-	unlisted := func(string) (Life, bool) { return Life{}, false }
+	unlisted := func(string) (Incarnation, bool) { return Incarnation{}, false }
 	tables := []*Table{NewTable(), NewTable()}
-	tables[0].Heard(at(0), at(0), incarnation, reportLimit(1))
-	tables[0].Leaves(at(0), incarnation)
-	tables[1].Told(at(1), tables[0].Records(64)[0], true)
+	tables[0].Observe(at(0), at(0), incarnation, reportLimit(1))
+	tables[0].MarkLeaving(at(0), incarnation)
+	tables[1].Merge(at(1), tables[0].Records(64)[0], true)
 	for now := 2.0; now < 300; now += 0.5 {
 		for i, table := range tables {
 			for _, r := range tables[1-i].Records(64) {
-				table.Told(at(now), r, false)
+				table.Merge(at(now), r, false)
 			}
 			if int(2*now)%3 == i {
 				table.Sweep(at(now), unlisted)
--- a/internal/backpressure/bench_test.go
+++ b/internal/backpressure/bench_test.go
@@ -9,7 +9,7 @@
 func limitedTable(vms int) *Table {
 	table := NewTable()
 	for i := range vms {
-		table.Heard(at(0), at(0), Life{VM: fmt.Sprint(i)}, reportLimit(2))
+		table.Observe(at(0), at(0), Incarnation{VM: fmt.Sprint(i)}, reportLimit(2))
 	}
 	return table
 }
@@ -21,7 +21,7 @@
 	sharing := func() Sharing { return nodes }
 	b.ReportAllocs()
 	for i := range b.N {
-		table.Check(at(float64(i)), Life{VM: fmt.Sprint(i % maxVMs)}, 0, sharing)
+		table.Check(at(float64(i)), Incarnation{VM: fmt.Sprint(i % maxVMs)}, 0, sharing)
 	}
 }
 
--- a/internal/backpressure/notice.go
+++ b/internal/backpressure/notice.go
@@ -14,7 +14,7 @@
 
 // Signals holds what one response of an upstream VM reports of the VM's condition. The zero value
 // means that the VM is healthy.
-type Notice struct {
+type Signals struct {
 	// Limited is true when the VM reports a limit.
 	Limited bool
 	// Limit is how many requests per second the VM takes from all nodes together.
@@ -23,7 +23,7 @@
 	Refused bool
 	// Backoff is how long this node must send no requests to the VM; zero when the VM does not ask for
 	// a backoff.
-	Rest time.Duration
+	Backoff time.Duration
 	// Leaving is true when the VM is about to terminate and takes no new requests from any node.
 	Leaving bool
 }
--- a/internal/backpressure/rest.go
+++ b/internal/backpressure/rest.go
@@ -5,7 +5,7 @@
 const (
 	// MaxBackoff bounds a backoff. After it the VM gets a request again, and may ask for another
 	// backoff.
-	LongestRest = time.Hour
+	MaxBackoff = time.Hour
 	// probeInterval is the time between two requests to a VM whose backoff has expired, until it
 	// accepts one. Without it all waiting requests would be sent at once.
 	probeInterval = time.Second
@@ -22,11 +22,11 @@
 
 // observe processes a response: one that rejects its request may start a backoff, any other ends the
 // probing once the backoff has expired.
-func (b *backoff) observe(now time.Time, n Notice) {
+func (b *backoff) observe(now time.Time, n Signals) {
 	switch {
-	case n.Rest > 0:
+	case n.Backoff > 0:
 		b.probing, b.probedAt = true, time.Time{}
-		b.until = latest(b.until, now.Add(min(n.Rest, LongestRest)))
+		b.until = latest(b.until, now.Add(min(n.Backoff, MaxBackoff)))
 	case !n.Refused && !now.Before(b.until):
 		b.probing = false
 	}
--- a/internal/backpressure/sharing.go
+++ b/internal/backpressure/sharing.go
@@ -17,7 +17,7 @@
 	Nodes []string
 	// Remote is true when Nodes belong to other failure domains, because no node of the VMs' own
 	// failure domain is reachable. Those nodes may be running behind a network partition.
-	Foreign bool
+	Remote bool
 }
 
 const (
@@ -44,7 +44,7 @@
 		return 0
 	}
 	part := usedFraction
-	if s.Foreign {
+	if s.Remote {
 		part = remoteFraction
 	}
 	return max(limit*part, minRate) / float64(len(holders))
@@ -55,7 +55,7 @@
 // hashing, so that a node that joins or leaves changes the holders of few VMs only.
 func (s Sharing) holders(vm string, limit float64) []string {
 	count := 1
-	if !s.Foreign {
+	if !s.Remote {
 		count += int(min((combinedBurstSeconds*limit+combinedBurstRequests)/maxBurst, float64(len(s.Nodes))))
 	}
 	if count >= len(s.Nodes) {
--- a/internal/backpressure/table.go
+++ b/internal/backpressure/table.go
@@ -7,7 +7,7 @@
 )
 
 // Incarnation identifies one incarnation of a VM.
-type Life struct {
+type Incarnation struct {
 	VM string
 	// Born is the start time of the incarnation in Unix milliseconds; 0 while it is not known.
 	Born int64
@@ -15,13 +15,13 @@
 
 // matches reports whether two values may identify the same incarnation. An unknown start time matches
 // any.
-func (l Life) matches(other Life) bool {
+func (l Incarnation) matches(other Incarnation) bool {
 	return l.VM == other.VM && (l.Born == other.Born || l.Born == 0 || other.Born == 0)
 }
 
 // Record is what nodes send each other about one VM.
 type Record struct {
-	Life
+	Incarnation
 	// Leaving is true once the VM has announced that it is about to terminate.
 	Leaving bool
 	// Limited is false when the VM stopped reporting a limit.
@@ -40,15 +40,15 @@
 	Unchanged Change = iota
 	// LimitSet means that the VM starts to report a limit, LimitChanged that it reports a different
 	// one, and LimitCleared that it reports none any more.
-	LimitNamed
+	LimitSet
 	LimitChanged
-	LimitEnded
+	LimitCleared
 )
 
 // Throttle states whether a request may be sent to a VM now.
-type Hold struct {
+type Throttle struct {
 	// Throttled is true when the request may not be sent now.
-	Back bool
+	Throttled bool
 	// Wait is about how long it takes until a request may be sent.
 	Wait time.Duration
 }
@@ -66,7 +66,7 @@
 
 // condition holds what is known of one incarnation of a VM.
 type condition struct {
-	incarnation Life
+	incarnation Incarnation
 	limit       limit
 	backoff     backoff
 	// leavingAt is when this node learned that the VM is leaving; zero while it is not.
@@ -97,18 +97,18 @@
 // Observe records what a response of the VM reports. sent is when its request was sent: a response
 // without a limit clears the limit only if its request was sent after the limit was reported, since
 // responses can overtake each other.
-func (t *Table) Heard(now, sent time.Time, incarnation Life, n Notice) Change {
+func (t *Table) Observe(now, sent time.Time, incarnation Incarnation, n Signals) Change {
 	t.observeBackoff(now, incarnation, n)
 	if !n.Limited {
 		return t.clearLimit(now, sent, incarnation)
 	}
-	return t.setLimit(now, Record{Life: incarnation, Limited: true, Limit: n.Limit, At: now})
+	return t.setLimit(now, Record{Incarnation: incarnation, Limited: true, Limit: n.Limit, At: now})
 }
 
 // observeBackoff updates the VM's backoff from a response.
-func (t *Table) observeBackoff(now time.Time, incarnation Life, n Notice) {
+func (t *Table) observeBackoff(now time.Time, incarnation Incarnation, n Signals) {
 	c := t.find(incarnation)
-	if c == nil && n.Rest <= 0 {
+	if c == nil && n.Backoff <= 0 {
 		return
 	}
 	if c == nil {
@@ -118,17 +118,17 @@
 }
 
 // clearLimit processes a response that reports no limit.
-func (t *Table) clearLimit(now, sent time.Time, incarnation Life) Change {
+func (t *Table) clearLimit(now, sent time.Time, incarnation Incarnation) Change {
 	c := t.find(incarnation)
 	if c == nil || !c.limit.active || !sent.After(c.limit.reportedAt) {
 		return Unchanged
 	}
-	return t.setLimit(now, Record{Life: incarnation, At: now})
+	return t.setLimit(now, Record{Incarnation: incarnation, At: now})
 }
 
 // MarkUnreadable records that a report of the VM could not be parsed. It reports whether it is the
 // first one.
-func (t *Table) Unreadable(incarnation Life) bool {
+func (t *Table) MarkUnreadable(incarnation Incarnation) bool {
 	c := t.find(incarnation)
 	if c == nil {
 		c = t.add(incarnation)
@@ -140,7 +140,7 @@
 
 // MarkLeaving records that the VM is about to terminate, as it announced itself or as another node
 // reported. It reports whether that was not known yet. The mark stays until the incarnation ends.
-func (t *Table) Leaves(now time.Time, incarnation Life) bool {
+func (t *Table) MarkLeaving(now time.Time, incarnation Incarnation) bool {
 	c := t.find(incarnation)
 	if c == nil {
 		c = t.add(incarnation)
@@ -154,14 +154,14 @@
 }
 
 // Leaving reports whether the VM is about to terminate.
-func (t *Table) Leaving(incarnation Life) bool {
+func (t *Table) Leaving(incarnation Incarnation) bool {
 	c := t.find(incarnation)
 	return c != nil && !c.leavingAt.IsZero()
 }
 
 // Backoff returns how long this node must still send no requests to the VM; zero when the VM asked for
 // no backoff.
-func (t *Table) Resting(now time.Time, incarnation Life) time.Duration {
+func (t *Table) Backoff(now time.Time, incarnation Incarnation) time.Duration {
 	c := t.find(incarnation)
 	if c == nil {
 		return 0
@@ -174,13 +174,13 @@
 // does one of an incarnation other than the known one, since it may be the previous one. listed states
 // whether the platform lists the incarnation. A record of an unlisted one updates only what is known
 // already; otherwise nodes that forget it would receive it from each other forever.
-func (t *Table) Told(now time.Time, r Record, listed bool) (change Change, leaving bool) {
-	c := t.find(r.Life)
+func (t *Table) Merge(now time.Time, r Record, listed bool) (change Change, leaving bool) {
+	c := t.find(r.Incarnation)
 	if c == nil && (!listed || t.vms[r.VM] != nil) {
 		return Unchanged, false
 	}
 	if r.Leaving {
-		leaving = t.Leaves(now, r.Life)
+		leaving = t.MarkLeaving(now, r.Incarnation)
 	}
 	if r.At.IsZero() || (c != nil && !r.At.After(c.limit.reportedAt)) {
 		return Unchanged, leaving
@@ -190,9 +190,9 @@
 
 // setLimit stores the newest report on a limit.
 func (t *Table) setLimit(now time.Time, r Record) Change {
-	c := t.find(r.Life)
+	c := t.find(r.Incarnation)
 	if c == nil {
-		c = t.add(r.Life)
+		c = t.add(r.Incarnation)
 	}
 	l := &c.limit
 	change := l.changeBy(r)
@@ -201,7 +201,7 @@
 		l.changedAt = now
 		t.shared = nil
 	}
-	if change == LimitNamed {
+	if change == LimitSet {
 		l.holderSince = time.Time{}
 	}
 	return change
@@ -211,17 +211,17 @@
 func (l *limit) changeBy(r Record) Change {
 	switch {
 	case r.Limited && !l.active:
-		return LimitNamed
+		return LimitSet
 	case r.Limited && l.rate != r.Limit:
 		return LimitChanged
 	case l.active && !r.Limited:
-		return LimitEnded
+		return LimitCleared
 	}
 	return Unchanged
 }
 
 // find returns the condition of an incarnation; nil when nothing is known of it.
-func (t *Table) find(incarnation Life) *condition {
+func (t *Table) find(incarnation Incarnation) *condition {
 	c := t.vms[incarnation.VM]
 	if c == nil || !c.incarnation.matches(incarnation) {
 		return nil
@@ -231,7 +231,7 @@
 
 // add starts to track an incarnation, in place of a previous one of the same VM. A full table forgets
 // the VM with the oldest report first.
-func (t *Table) add(incarnation Life) *condition {
+func (t *Table) add(incarnation Incarnation) *condition {
 	if len(t.vms) >= maxVMs {
 		t.forgetOldest()
 	}
@@ -257,7 +257,7 @@
 }
 
 // Limit returns the limit that a VM reports; false when it reports none.
-func (t *Table) Limit(incarnation Life) (Record, bool) {
+func (t *Table) Limit(incarnation Incarnation) (Record, bool) {
 	c := t.find(incarnation)
 	if c == nil || !c.limit.active {
 		return Record{}, false
@@ -267,7 +267,7 @@
 
 // Headroom returns how many requests this node may send to a VM within a period, as of the newest
 // check; false when the VM reports no limit.
-func (t *Table) Room(incarnation Life, within time.Duration) (float64, bool) {
+func (t *Table) Headroom(incarnation Incarnation, within time.Duration) (float64, bool) {
 	c := t.find(incarnation)
 	if c == nil || !c.limit.active {
 		return 0, false
@@ -276,32 +276,32 @@
 }
 
 func (c *condition) record() Record {
-	return Record{Life: c.incarnation, Leaving: !c.leavingAt.IsZero(), Limited: c.limit.active, Limit: c.limit.rate, At: c.limit.reportedAt}
+	return Record{Incarnation: c.incarnation, Leaving: !c.leavingAt.IsZero(), Limited: c.limit.active, Limit: c.limit.rate, At: c.limit.reportedAt}
 }
 
 // Check reports whether a request may be sent to a VM. reserve is the fraction of a request, 0 to 0.3,
 // that is kept in reserve for more urgent requests when the VM has a limit. sharing is called only if
 // the VM has a limit.
-func (t *Table) Check(now time.Time, incarnation Life, reserve float64, sharing func() Sharing) Hold {
+func (t *Table) Check(now time.Time, incarnation Incarnation, reserve float64, sharing func() Sharing) Throttle {
 	c := t.find(incarnation)
 	if c == nil {
-		return Hold{}
+		return Throttle{}
 	}
 	if wait := c.backoff.remaining(now); wait > 0 {
-		return Hold{Back: true, Wait: wait}
+		return Throttle{Throttled: true, Wait: wait}
 	}
 	if !c.limit.active {
-		return Hold{}
+		return Throttle{}
 	}
 	rate := c.limit.refill(now, incarnation.VM, sharing())
 	if rate == 0 {
-		return Hold{Back: true, Wait: requestInterval(c.limit.rate)}
+		return Throttle{Throttled: true, Wait: requestInterval(c.limit.rate)}
 	}
 	needed := 1 + min(reserve, maxReserve)
 	if c.limit.tokens >= needed {
-		return Hold{}
+		return Throttle{}
 	}
-	return Hold{Back: true, Wait: c.limit.waitFor(now, needed, rate)}
+	return Throttle{Throttled: true, Wait: c.limit.waitFor(now, needed, rate)}
 }
 
 // requestInterval returns the time between two requests at a limit.
@@ -310,7 +310,7 @@
 }
 
 // RecordSent records that a request is sent to the VM.
-func (t *Table) Sent(now time.Time, incarnation Life) {
+func (t *Table) RecordSent(now time.Time, incarnation Incarnation) {
 	c := t.find(incarnation)
 	if c == nil {
 		return
@@ -322,7 +322,7 @@
 }
 
 // UndoSent reverts RecordSent for a request that was not sent after all.
-func (t *Table) Unsent(incarnation Life) {
+func (t *Table) UndoSent(incarnation Incarnation) {
 	c := t.find(incarnation)
 	if c == nil {
 		return
@@ -369,7 +369,7 @@
 
 // Sweep forgets incarnations that have ended. listed returns the incarnation that the platform lists
 // under a VM's ID.
-func (t *Table) Sweep(now time.Time, listed func(vm string) (Life, bool)) {
+func (t *Table) Sweep(now time.Time, listed func(vm string) (Incarnation, bool)) {
 	for id, c := range t.vms {
 		incarnation, ok := listed(id)
 		switch {
--- a/internal/backpressure/wire.go
+++ b/internal/backpressure/wire.go
@@ -22,7 +22,7 @@
 // Decode returns the record that a message holds. createdAt is the time from which the message's ages
 // count back, at or after its creation.
 func Decode(c *marbleroadv1.UpstreamCondition, createdAt time.Time) Record {
-	out := Record{Life: Life{VM: c.GetVm(), Born: c.GetBorn()}, Leaving: c.GetLeaving()}
+	out := Record{Incarnation: Incarnation{VM: c.GetVm(), Born: c.GetBorn()}, Leaving: c.GetLeaving()}
 	if c.LimitAgeMs != nil {
 		age := time.Duration(c.GetLimitAgeMs()) * time.Millisecond
 		out.Limited, out.Limit, out.At = c.Limit != nil, c.GetLimit(), createdAt.Add(-age)
--- a/internal/cluster/quarantine_test.go
+++ b/internal/cluster/quarantine_test.go
@@ -14,12 +14,12 @@
 const knownWithin = 3 * time.Second
 
 func (n *testNode) keepsOut(f quarantine.Fingerprint) bool {
-	return n.suspects.Judge(time.Now(), f).Quarantined > 0
+	return n.suspects.Verdict(time.Now(), f).Quarantined > 0
 }
 
 // crashAt has an upstream end under a request that a node sent.
-func (f *fleetOfNodes) crashAt(node int, request quarantine.Fingerprint, life quarantine.Life) quarantine.Verdict {
-	return f.nodes[fmt.Sprintf("n%03d", node)].suspects.Ended(time.Now(), request, life, true)
+func (f *fleetOfNodes) crashAt(node int, request quarantine.Fingerprint, life quarantine.Incarnation) quarantine.Verdict {
+	return f.nodes[fmt.Sprintf("n%03d", node)].suspects.RecordTermination(time.Now(), request, life, true)
 }
 
 // TestRequestInQuarantineIsKnownEverywhere: a request came to a node of another failure domain each
@@ -38,7 +38,7 @@
 				away.cut.Store(true)
 				for i := range 3 {
 					time.Sleep(1500 * time.Millisecond)
-					f.crashAt(i, request, quarantine.Life(i+1))
+					f.crashAt(i, request, quarantine.Incarnation(i+1))
 				}
 				took := f.within(t, knownWithin, "the request in quarantine", func(n *testNode) bool { return n.keepsOut(request) })
 				t.Logf("known everywhere %v after the third end", took)
@@ -75,11 +75,11 @@
 		for head := range heads {
 			for i := range running {
 				request := quarantine.Fingerprint(head*running + i + 1)
-				f.crashAt(i%8, request, quarantine.Life(head+1))
+				f.crashAt(i%8, request, quarantine.Incarnation(head+1))
 			}
 			time.Sleep(500 * time.Millisecond)
 			for i := range running {
-				f.nodes[fmt.Sprintf("n%03d", i%8)].suspects.Served(time.Now(), quarantine.Fingerprint(head*running+i+1))
+				f.nodes[fmt.Sprintf("n%03d", i%8)].suspects.RecordSuccess(time.Now(), quarantine.Fingerprint(head*running+i+1))
 			}
 		}
 		seconds := heads / 2
@@ -94,8 +94,8 @@
 		time.Sleep(3 * time.Second)
 		for id, n := range f.nodes {
 			for request := range quarantine.Fingerprint(heads * running) {
-				if v := n.suspects.Judge(time.Now(), request+1); v.Ends > 0 {
-					t.Fatalf("%s holds %d ends against a request that was answered since", id, v.Ends)
+				if v := n.suspects.Verdict(time.Now(), request+1); v.Terminations > 0 {
+					t.Fatalf("%s holds %d ends against a request that was answered since", id, v.Terminations)
 				}
 			}
 		}
--- a/internal/cluster/sharing.go
+++ b/internal/cluster/sharing.go
@@ -53,7 +53,7 @@
 		heard = heard || (p.State != nil && now.Sub(p.HeardAt) <= liveFor)
 	}
 	if !heard {
-		out.Nodes, out.Foreign = others, true
+		out.Nodes, out.Remote = others, true
 	}
 	return out
 }
--- a/internal/cluster/sharing_test.go
+++ b/internal/cluster/sharing_test.go
@@ -25,7 +25,7 @@
 
 // limitedVM is an upstream VM that names a limit to whoever sends to it, and the nodes that do.
 type limitedVM struct {
-	life  backpressure.Life
+	life  backpressure.Incarnation
 	limit float64
 	fleet *fleetOfNodes
 
@@ -61,7 +61,7 @@
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		for _, c := range s.GetConditions() {
-			table.Told(time.Now(), backpressure.Decode(c, at), true)
+			table.Merge(time.Now(), backpressure.Decode(c, at), true)
 		}
 	})
 }
@@ -79,13 +79,13 @@
 		return
 	case !told:
 		v.strays++
-	case table.Check(now, v.life, 0, func() backpressure.Sharing { return sharing }).Back:
+	case table.Check(now, v.life, 0, func() backpressure.Sharing { return sharing }).Throttled:
 		return
 	default:
-		table.Sent(now, v.life)
+		table.RecordSent(now, v.life)
 		v.arrivals = append(v.arrivals, now)
 	}
-	if table.Heard(now, now, v.life, backpressure.Notice{Limited: true, Limit: v.limit}) == backpressure.LimitNamed {
+	if table.Observe(now, now, v.life, backpressure.Signals{Limited: true, Limit: v.limit}) == backpressure.LimitSet {
 		n.Nudge()
 	}
 }
@@ -127,7 +127,7 @@
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	f := newNodes(t, count)
-	v := &limitedVM{life: backpressure.Life{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: way}
+	v := &limitedVM{life: backpressure.Incarnation{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: way}
 	for i := range count {
 		v.follow(f.node(fmt.Sprintf("n%03d", i)))
 	}
--- a/internal/ctl/node_test.go
+++ b/internal/ctl/node_test.go
@@ -56,8 +56,8 @@
 // fingerprint, is said so.
 func TestRelease(t *testing.T) {
 	suspects := quarantine.NewTable()
-	for life := range quarantine.Life(3) {
-		suspects.Ended(clock.Now(), 0xf3a4f860b4ef0563, life, true)
+	for life := range quarantine.Incarnation(3) {
+		suspects.RecordTermination(clock.Now(), 0xf3a4f860b4ef0563, life, true)
 	}
 	server := httptest.NewServer(inspect.Release(suspects))
 	defer server.Close()
@@ -69,7 +69,7 @@
 	if code, out := release("f3a4f860b4ef0563"); code != exitOK {
 		t.Errorf("exit code %d: %s", code, out)
 	}
-	if v := suspects.Judge(clock.Now(), 0xf3a4f860b4ef0563); v != (quarantine.Verdict{}) {
+	if v := suspects.Verdict(clock.Now(), 0xf3a4f860b4ef0563); v != (quarantine.Verdict{}) {
 		t.Errorf("still held: %+v", v)
 	}
 	if code, out := release("f3a4f860b4ef0563"); code != exitFailure || !strings.Contains(out, "holds nothing against") {
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -60,7 +60,7 @@
 		if groups.Busy() {
 			return min(busySettle*time.Duration(max(nodes.Size(), busyNodes))/busyNodes, mostBusy)
 		}
-		return feed.IdleSettle
+		return feed.IdleWatchPause
 	})
 	state := func() *marbleroadv1.NodeState {
 		out := &marbleroadv1.NodeState{
@@ -114,7 +114,7 @@
 		Demand:   server,
 	})
 	nodes.OnPeer(server.Hear)
-	nodes.ServeFeed(&feed.Server{Directory: directory, Keeper: keeper})
+	nodes.ServeFeed(&feed.Server{Directory: directory, Cache: keeper})
 	keeper.OnChange(server.Rebuild)
 	keeper.OnReturn(archive.Refresh)
 	directory.OnChange(func(*fleet.Snapshot) { server.Rebuild() })
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -199,7 +199,7 @@
 	})
 	blocker = new(requestBlocker)
 	mux := http.NewServeMux()
-	mux.Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: leader.directory, Keeper: leader.cache}}))
+	mux.Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: leader.directory, Cache: leader.cache}}))
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if blocker.on.Load() {
 			blocker.blocked.Add(1)
@@ -461,7 +461,7 @@
 		receivedAt := min(next, requestedAt+leaderWait) + call
 		oldest = max(oldest, receivedAt-verifiedAt)
 		verifiedAt = requestedAt
-		requestedAt = receivedAt + IdleSettle
+		requestedAt = receivedAt + IdleWatchPause
 	}
 	if maxAge := fleetQuery.maxAge - 100*time.Millisecond; oldest > maxAge {
 		t.Errorf("the last verification is up to %v old, at most %v is allowed", oldest, maxAge)
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -128,7 +128,7 @@
 		leader := NewLeader(self, domain, func() bool { return false }, testLog(t), http.DefaultClient, func(address string) string { return "http://" + address })
 		n := &node{directory: fleet.NewDirectory(NewFleet(link, leader), testLog(t), time.Second, func() time.Duration { return time.Millisecond })}
 		n.cache = catalog.NewKeeper(NewCatalog(slowLinkCatalog{link}, leader, func() uint64 { return n.cache.Version() }, decodeVersion), testLog(t), time.Second)
-		servers[i].Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: n.directory, Keeper: n.cache}}))
+		servers[i].Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: n.directory, Cache: n.cache}}))
 		nodes = append(nodes, n)
 	}
 	for _, n := range nodes {
@@ -179,7 +179,7 @@
 		return source.directory.Snapshot().ProvenAt.Add(maxUnrefreshedAge + 100*time.Millisecond).Before(time.Now())
 	})
 	mux := http.NewServeMux()
-	mux.Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: source.directory, Keeper: source.cache}}))
+	mux.Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: source.directory, Cache: source.cache}}))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	domain := domainNodes(domainRecords(60))
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -20,7 +20,7 @@
 
 const (
 	// IdleWatchPause is the time between two watches of a node that forms no groups.
-	IdleSettle = 500 * time.Millisecond
+	IdleWatchPause = 500 * time.Millisecond
 	// leaderWait is how long a watch of a node that others follow waits for changes. Two waits and the
 	// pause between them are the maximum age of its verification, which must stay below what its
 	// followers accept.
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -20,7 +20,7 @@
 // Server responds to followers from what this node has read.
 type Server struct {
 	Directory *fleet.Directory
-	Keeper    *catalog.Keeper
+	Cache    *catalog.Keeper
 
 	packer packer
 }
@@ -54,14 +54,14 @@
 // FollowCatalog implements part of ClusterService.
 func (s *Server) FollowCatalog(ctx context.Context, r *connect.Request[marbleroadv1.FollowCatalogRequest]) (*connect.Response[marbleroadv1.FollowCatalogResponse], error) {
 	arrived := clock.Now()
-	state := s.Keeper.Await(ctx, r.Msg.GetVersion(), min(milliseconds(r.Msg.GetWaitMs()), maxFollowWait))
+	state := s.Cache.Await(ctx, r.Msg.GetVersion(), min(milliseconds(r.Msg.GetWaitMs()), maxFollowWait))
 	out := &marbleroadv1.FollowCatalogResponse{Version: state.Version, Revision: state.Revision,
 		ProvenAfterMs: verifiedAfterMS(arrived, clock.Now().Add(-state.ProvenAge))}
 	if state.Version <= r.Msg.GetVersion() {
 		return connect.NewResponse(out), nil
 	}
 	// A newer version may have been adopted since. It is verified as recently.
-	current := s.Keeper.Catalog()
+	current := s.Cache.Catalog()
 	document, err := s.packer.pack(current)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -69,7 +69,7 @@
 // body has been read and the team is known.
 func (c *Call) fingerprint() quarantine.Fingerprint {
 	if c.print == 0 {
-		c.print = quarantine.Asked{Team: c.Team, Method: c.Method, Host: c.Host, Target: c.Path + c.Query, Body: c.Body}.Fingerprint()
+		c.print = quarantine.Request{Team: c.Team, Method: c.Method, Host: c.Host, Target: c.Path + c.Query, Body: c.Body}.Fingerprint()
 	}
 	return c.print
 }
@@ -102,7 +102,7 @@
 	Judge(resp *http.Response, requestID string) error
 	// Condition is what an answer says of the upstream's own condition. The error names what
 	// can't be read; the notice holds the rest.
-	Condition(status int, h http.Header) (backpressure.Notice, error)
+	Condition(status int, h http.Header) (backpressure.Signals, error)
 }
 
 // hopHeaders concern one connection only and are not passed on.
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -81,7 +81,7 @@
 		s.predicted = r.first - b.offset(key).Value()
 	}
 	b.begin(now, s)
-	b.conditions.Sent(now, lifeOf(s.vm))
+	b.conditions.RecordSent(now, lifeOf(s.vm))
 	if tried != nil {
 		tried[s.key()] = true
 	}
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -21,7 +21,7 @@
 	return backpressure.Sharing{Self: "self", Nodes: []string{"self"}}
 }
 
-func lifeOf(vm *fleet.VM) backpressure.Life { return backpressure.Life{VM: vm.ID, Born: vm.Born} }
+func lifeOf(vm *fleet.VM) backpressure.Incarnation { return backpressure.Incarnation{VM: vm.ID, Born: vm.Born} }
 
 // heldTargets are targets that were passed over, since they asked for fewer requests.
 type heldTargets struct {
@@ -46,7 +46,7 @@
 		if tried[t.key()] || b.conditions.Leaving(lifeOf(t.vm)) {
 			continue
 		}
-		if hold := b.hold(now, t, kept); hold.Back {
+		if hold := b.hold(now, t, kept); hold.Throttled {
 			held.add(hold.Wait)
 			continue
 		}
@@ -56,9 +56,9 @@
 }
 
 // hold reports whether the target's VM has asked for fewer requests than one more. mu is held.
-func (b *board) hold(now time.Time, t *target, kept float64) backpressure.Hold {
+func (b *board) hold(now time.Time, t *target, kept float64) backpressure.Throttle {
 	if b.conditions.Empty() {
-		return backpressure.Hold{}
+		return backpressure.Throttle{}
 	}
 	return b.conditions.Check(now, lifeOf(t.vm), kept, func() backpressure.Sharing { return b.sharing(t.vm.FailureDomain) })
 }
@@ -66,7 +66,7 @@
 // limitedRoom is how many more requests a target takes within a time, if its VM names a limit: as many of each
 // node as of this one, since requests are divided as if all nodes did alike. mu is held.
 func (b *board) limitedRoom(t *target, within time.Duration) (float64, bool) {
-	own, limited := b.conditions.Room(lifeOf(t.vm), within)
+	own, limited := b.conditions.Headroom(lifeOf(t.vm), within)
 	if !limited {
 		return 0, false
 	}
@@ -75,27 +75,27 @@
 
 // forgetConditions drops what former lives of VMs said. mu is held.
 func (b *board) forgetConditions(s *fleet.Snapshot) {
-	b.conditions.Sweep(clock.Now(), func(id string) (backpressure.Life, bool) {
+	b.conditions.Sweep(clock.Now(), func(id string) (backpressure.Incarnation, bool) {
 		vm := s.VMs[id]
 		if vm == nil {
-			return backpressure.Life{}, false
+			return backpressure.Incarnation{}, false
 		}
 		return lifeOf(vm), true
 	})
 }
 
 // heardCondition takes what an answer to a send says of its VM, and returns what that changes.
-func (b *board) heardCondition(now, sent time.Time, s *send, n backpressure.Notice) backpressure.Change {
+func (b *board) heardCondition(now, sent time.Time, s *send, n backpressure.Signals) backpressure.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.conditions.Heard(now, sent, lifeOf(s.vm), n)
+	return b.conditions.Observe(now, sent, lifeOf(s.vm), n)
 }
 
 // toldCondition takes what another node tells.
 func (b *board) toldCondition(now time.Time, r backpressure.Record, listed bool) (change backpressure.Change, leaves bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.conditions.Told(now, r, listed)
+	return b.conditions.Merge(now, r, listed)
 }
 
 // tellConditions adds the conditions to what others are told. mu is held.
@@ -114,10 +114,10 @@
 	if notice.Limited {
 		j.s.metrics.Count("upstreams.limits.heard", 1)
 	}
-	if notice.Rest > 0 {
+	if notice.Backoff > 0 {
 		j.s.metrics.Count("upstreams.rests.heard", 1)
 		j.s.log.Emit(event.UpstreamResting).Str("vm", s.vm.ID).Int64("born", s.vm.Born).Str("group", s.t.group).
-			Str("request", j.c.ID).Int64("rest_ms", notice.Rest.Milliseconds()).Send()
+			Str("request", j.c.ID).Int64("rest_ms", notice.Backoff.Milliseconds()).Send()
 	}
 	if notice.Leaving {
 		j.s.metrics.Count("upstreams.leaving.heard", 1)
@@ -125,7 +125,7 @@
 	}
 	change := j.s.board.heardCondition(clock.Now(), sent, s, notice)
 	j.s.tellLimit(change, lifeOf(s.vm), notice.Limit, 0, j.c.ID)
-	if change == backpressure.LimitNamed || change == backpressure.LimitEnded {
+	if change == backpressure.LimitSet || change == backpressure.LimitCleared {
 		j.s.parts.Nudge()
 	}
 }
@@ -135,16 +135,16 @@
 	now := clock.Now()
 	for _, one := range state.GetConditions() {
 		r := backpressure.Decode(one, heardAt)
-		change, leaves := s.board.toldCondition(now, r, s.lists(r.Life))
-		s.tellLimit(change, r.Life, r.Limit, now.Sub(r.At), "")
+		change, leaves := s.board.toldCondition(now, r, s.lists(r.Incarnation))
+		s.tellLimit(change, r.Incarnation, r.Limit, now.Sub(r.At), "")
 		if leaves {
-			s.takeOut(r.Life, "")
+			s.takeOut(r.Incarnation, "")
 		}
 	}
 }
 
 // lists reports whether the platform lists a life of a VM.
-func (s *Server) lists(life backpressure.Life) bool {
+func (s *Server) lists(life backpressure.Incarnation) bool {
 	snapshot := s.parts.Directory.Snapshot()
 	if snapshot == nil {
 		return false
@@ -162,7 +162,7 @@
 	if s.board.conditions.Leaving(life) {
 		said = append(said, "leaves")
 	}
-	if rest := s.board.conditions.Resting(now, life); rest > 0 {
+	if rest := s.board.conditions.Backoff(now, life); rest > 0 {
 		said = append(said, fmt.Sprintf("rests %v more", rest.Round(time.Millisecond)))
 	}
 	if limit, limited := s.board.conditions.Limit(life); limited {
@@ -173,7 +173,7 @@
 
 // HearVM takes what a VM says of itself in an answer to this node's own questions and orders. Such an
 // answer ends nothing: it may be of another part of the VM than those to requests.
-func (s *Server) HearVM(vm *fleet.VM, n backpressure.Notice, fault error) {
+func (s *Server) HearVM(vm *fleet.VM, n backpressure.Signals, fault error) {
 	if fault != nil {
 		s.unreadable(lifeOf(vm), "", fault)
 	}
@@ -183,10 +183,10 @@
 }
 
 // unreadable tells, once for each life of a VM, of what it says of its condition and can't be read.
-func (s *Server) unreadable(life backpressure.Life, request string, fault error) {
+func (s *Server) unreadable(life backpressure.Incarnation, request string, fault error) {
 	s.metrics.Count("upstreams.conditions.unreadable", 1)
 	s.board.mu.Lock()
-	first := s.board.conditions.Unreadable(life)
+	first := s.board.conditions.MarkUnreadable(life)
 	s.board.mu.Unlock()
 	if first {
 		s.log.Emit(event.ConditionUnreadable).Str("vm", life.VM).Int64("born", life.Born).Str("request", request).Err(fault).Send()
@@ -194,9 +194,9 @@
 }
 
 // heardLeaving takes a VM's own word that it is about to end, in the answer to a request if there is one.
-func (s *Server) heardLeaving(life backpressure.Life, request string) {
+func (s *Server) heardLeaving(life backpressure.Incarnation, request string) {
 	s.board.mu.Lock()
-	news := s.board.conditions.Leaves(clock.Now(), life)
+	news := s.board.conditions.MarkLeaving(clock.Now(), life)
 	s.board.mu.Unlock()
 	if news {
 		s.takeOut(life, request)
@@ -204,7 +204,7 @@
 }
 
 // takeOut takes a VM that is about to end out of use, and has the other nodes know.
-func (s *Server) takeOut(life backpressure.Life, request string) {
+func (s *Server) takeOut(life backpressure.Incarnation, request string) {
 	s.parts.Directory.Leaving(life.VM, life.Born)
 	s.log.Emit(event.UpstreamLeaving).Str("vm", life.VM).Int64("born", life.Born).Str("request", request).Bool("told", request == "").Send()
 	s.parts.Nudge()
@@ -212,12 +212,12 @@
 
 // tellLimit logs a change of a VM's limit, which was heard so long ago with a request's answer or from
 // another node.
-func (s *Server) tellLimit(change backpressure.Change, life backpressure.Life, limit float64, age time.Duration, request string) {
+func (s *Server) tellLimit(change backpressure.Change, life backpressure.Incarnation, limit float64, age time.Duration, request string) {
 	kind := event.UpstreamLimited
 	switch change {
 	case backpressure.Unchanged:
 		return
-	case backpressure.LimitEnded:
+	case backpressure.LimitCleared:
 		kind = event.UpstreamUnlimited
 	}
 	s.log.Emit(kind).Str("vm", life.VM).Int64("born", life.Born).Float64("limit", limit).Int64("age_ms", age.Milliseconds()).
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -17,7 +17,7 @@
 	if s == nil {
 		t.Fatal("no request at the head")
 	}
-	if change := b.heardCondition(now, now, s, backpressure.Notice{Limited: true}); change != backpressure.LimitNamed {
+	if change := b.heardCondition(now, now, s, backpressure.Signals{Limited: true}); change != backpressure.LimitSet {
 		t.Fatalf("the word changed %d", change)
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	over := now.Add(2 * time.Second)
 	teller.mu.Lock()
-	teller.conditions.Heard(over, over, backpressure.Life{VM: "a"}, backpressure.Notice{})
+	teller.conditions.Observe(over, over, backpressure.Incarnation{VM: "a"}, backpressure.Signals{})
 	teller.mu.Unlock()
 	pass(over.Add(time.Second))
 	if sendTo(told, over.Add(time.Second), c, "a") == nil {
@@ -75,7 +75,7 @@
 	now := time.Now()
 	b, c := testBoard(t, now, noneDissolving)
 	s := sendTo(b, now, c, "a")
-	b.heardCondition(now, now, s, backpressure.Notice{Limited: true, Limit: 0.5})
+	b.heardCondition(now, now, s, backpressure.Signals{Limited: true, Limit: 0.5})
 	stuck := sendTo(b, now, c, "b")
 	stuck.tried = map[string]bool{stuck.key(): true}
 	b.hold(now, s.t, 0)
@@ -85,7 +85,7 @@
 			t.Fatal("a place was kept without credit")
 		}
 	}
-	if hold := b.hold(later, s.t, 0); hold.Back {
+	if hold := b.hold(later, s.t, 0); hold.Throttled {
 		t.Error("looks for a place used the limit up")
 	}
 }
@@ -115,7 +115,7 @@
 func TestLeavingUpstreamIsLeftByNodesThatAreTold(t *testing.T) {
 	now := time.Now()
 	teller, c := testBoard(t, now, noneDissolving)
-	teller.conditions.Leaves(now, backpressure.Life{VM: "a"})
+	teller.conditions.MarkLeaving(now, backpressure.Incarnation{VM: "a"})
 	state := &marbleroadv1.NodeState{}
 	teller.tellConditions(now, state)
 	told, _ := testBoard(t, now, noneDissolving)
@@ -127,7 +127,7 @@
 	if sendTo(told, now, c, "a") != nil {
 		t.Error("a request went to an upstream that leaves")
 	}
-	if !told.conditions.Leaving(backpressure.Life{VM: "a", Born: 9}) {
+	if !told.conditions.Leaving(backpressure.Incarnation{VM: "a", Born: 9}) {
 		t.Error("a life that does not say when it began is not the one that leaves")
 	}
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -38,7 +38,7 @@
 	use := b.budget(s.call.Service).Take(now, nodes)
 	if !use.Allowed {
 		b.end(to)
-		b.conditions.Unsent(lifeOf(to.vm))
+		b.conditions.UndoSent(lifeOf(to.vm))
 		delete(s.tried, to.key())
 		return false
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -154,7 +154,7 @@
 		s.board.sharing = s.sharing
 	}
 	p.Quarantine.OnQuarantine(s.quarantined)
-	p.Quarantine.OnProved(p.Nudge)
+	p.Quarantine.OnConfirmed(p.Nudge)
 	return s
 }
 
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -44,7 +44,7 @@
 
 // held counts a send that begins (1) or ends (-1) among those that something is held against.
 func (t *target) held(s *send, by int) {
-	if s.judged.Ends > 0 {
+	if s.judged.Terminations > 0 {
 		t.touched += by
 	}
 	if s.judged.Suspected() {
@@ -58,12 +58,12 @@
 func (b *board) apart(t *target, judged quarantine.Verdict) float64 {
 	suspects := t.suspects + b.peerSuspects[t.group]
 	penalty := 0.0
-	if judged.Ends > 0 {
+	if judged.Terminations > 0 {
 		penalty += spreadPenalty * float64(t.touched)
 	}
 	switch {
 	case suspects == 0:
-	case judged.Ends > 0:
+	case judged.Terminations > 0:
 		penalty += apartPenalty
 	default:
 		penalty += harmPenalty
@@ -132,10 +132,10 @@
 // barred refuses a call that upstreams must be kept from, and notes what is held against it.
 func (j *job) barred() *verdict.Error {
 	j.c.judged = quarantine.Verdict{}
-	if !j.s.suspects.Known() {
+	if !j.s.suspects.HasRecords() {
 		return nil
 	}
-	j.c.judged = j.s.suspects.Judge(clock.Now(), j.c.fingerprint())
+	j.c.judged = j.s.suspects.Verdict(clock.Now(), j.c.fingerprint())
 	switch {
 	case j.c.judged.Quarantined > 0:
 		j.s.metrics.Count("quarantine.refused", 1)
@@ -151,9 +151,9 @@
 
 // answered notes that an upstream ran the call to its end.
 func (j *job) answered() {
-	if j.s.suspects.Known() || j.s.unproven.any() {
+	if j.s.suspects.HasRecords() || j.s.unproven.any() {
 		j.s.unproven.drop(j.c.fingerprint())
-		j.s.suspects.Served(clock.Now(), j.c.fingerprint())
+		j.s.suspects.RecordSuccess(clock.Now(), j.c.fingerprint())
 	}
 }
 
@@ -219,11 +219,11 @@
 // ended holds a VM's end against the request that it ran.
 func (s *Server) ended(one *send) {
 	alone := s.board.alone(one)
-	v := s.suspects.Ended(clock.Now(), one.print, quarantine.LifeOf(one.vm.ID, one.vm.Born), alone)
+	v := s.suspects.RecordTermination(clock.Now(), one.print, quarantine.IncarnationOf(one.vm.ID, one.vm.Born), alone)
 	s.metrics.Count("upstreams.ended", 1)
 	s.log.Emit(event.UpstreamEnded).Stringer("fingerprint", one.print).Str("vm", one.vm.ID).Int64("born", one.vm.Born).
 		Str("group", one.t.group).Uint64("generation", one.t.generation).Bool("begun", one.begun).Bool("alone", alone).
-		Int("ends", v.Ends).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
+		Int("ends", v.Terminations).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
 }
 
 // findEnded looks which VMs that fell silent have ended.
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -144,9 +144,9 @@
 func (s Sources) view(now time.Time) View {
 	v := View{Node: s.Node, FailureDomain: s.FailureDomain, Directing: s.Directing()}
 	v.Ready, v.NotReady = s.Ready()
-	for _, r := range s.Suspects.All(now) {
-		v.Suspects = append(v.Suspects, Suspect{Fingerprint: r.Fingerprint.String(), Ends: len(r.Ends), LastEnd: now.Sub(r.Ends[len(r.Ends)-1].At),
-			Quarantined: !r.QuarantinedAt.IsZero(), Left: r.Until().Sub(now)})
+	for _, r := range s.Suspects.Suspects(now) {
+		v.Suspects = append(v.Suspects, Suspect{Fingerprint: r.Fingerprint.String(), Ends: len(r.Terminations), LastEnd: now.Sub(r.Terminations[len(r.Terminations)-1].At),
+			Quarantined: !r.QuarantinedAt.IsZero(), Left: r.ExpiresAt().Sub(now)})
 	}
 	for _, p := range s.Cluster.Live(now) {
 		v.Nodes = append(v.Nodes, Node{ID: p.ID, FailureDomain: p.FailureDomain, Age: now.Sub(p.HeardAt),
--- a/internal/inspect/release.go
+++ b/internal/inspect/release.go
@@ -23,11 +23,11 @@
 			return
 		}
 		now := clock.Now()
-		if v := suspects.Judge(now, f); v.Ends == 0 {
+		if v := suspects.Verdict(now, f); v.Terminations == 0 {
 			http.Error(w, "nothing is held against this request here", http.StatusNotFound)
 			return
 		}
-		suspects.Served(now, f)
+		suspects.RecordSuccess(now, f)
 		w.WriteHeader(http.StatusNoContent)
 	})
 }
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -63,7 +63,7 @@
 // NewArchive returns the archive of a table. now is the node's clock.
 func NewArchive(table *Table, store platform.ObjectStore, log *event.Logger, reads func() bool, now func() time.Time) *Archive {
 	a := &Archive{table: table, store: store, log: log, reads: reads, now: now, urgent: make(chan struct{}, 1)}
-	table.OnProved(a.triggerWrite)
+	table.OnConfirmed(a.triggerWrite)
 	return a
 }
 
@@ -228,7 +228,7 @@
 			a.log.Emit(event.QuarantineUnread).Err(err).Send()
 		}
 	}
-	confirmed := a.table.Proved(a.now())
+	confirmed := a.table.Confirmed(a.now())
 	if digestOf(confirmed) == digestOf(stored) {
 		return true, nil
 	}
@@ -253,7 +253,7 @@
 func digestOf(records []Record) uint64 {
 	sum := uint64(0)
 	for i := range records {
-		if records[i].Proved {
+		if records[i].Confirmed {
 			sum ^= records[i].contentHash()
 		}
 	}
@@ -268,7 +268,7 @@
 
 type storedRecord struct {
 	Fingerprint uint64  `json:"fingerprint,string"`
-	Lives       []Life  `json:"lives,omitempty"`
+	Lives       []Incarnation  `json:"lives,omitempty"`
 	Ended       []int64 `json:"ended_ms,omitempty"`
 	Cleared     int64   `json:"cleared_ms,omitempty"`
 	Quarantined int64   `json:"quarantined_ms,omitempty"`
@@ -286,8 +286,8 @@
 	d := document{Requests: []storedRecord{}}
 	for _, r := range records {
 		s := storedRecord{Fingerprint: uint64(r.Fingerprint), Cleared: ms(r.ClearedAt), Quarantined: ms(r.QuarantinedAt)}
-		for _, e := range r.Ends {
-			s.Lives = append(s.Lives, e.Life)
+		for _, e := range r.Terminations {
+			s.Lives = append(s.Lives, e.Incarnation)
 			s.Ended = append(s.Ended, ms(e.At))
 		}
 		d.Requests = append(d.Requests, s)
@@ -310,10 +310,10 @@
 	}
 	out := make([]Record, 0, len(d.Requests))
 	for _, s := range d.Requests {
-		r := Record{Fingerprint: Fingerprint(s.Fingerprint), Proved: true}
+		r := Record{Fingerprint: Fingerprint(s.Fingerprint), Confirmed: true}
 		for i, ended := range s.Ended {
 			if i < len(s.Lives) {
-				r.add(End{s.Lives[i], at(ended)})
+				r.add(Termination{s.Lives[i], at(ended)})
 			}
 		}
 		r.ClearedAt, r.QuarantinedAt = at(s.Cleared), at(s.Quarantined)
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -134,9 +134,9 @@
 	}
 }
 
-func (n *archiveNode) terminate(lives ...Life) {
+func (n *archiveNode) terminate(lives ...Incarnation) {
 	for _, life := range lives {
-		n.Ended(time.Now(), 9, life, true)
+		n.RecordTermination(time.Now(), 9, life, true)
 	}
 }
 
@@ -154,7 +154,7 @@
 		second := startNode(t, m, true)
 		time.Sleep(time.Second)
 		second.terminate(3)
-		if v := second.Judge(time.Now(), 9); v.Quarantined == 0 {
+		if v := second.Verdict(time.Now(), 9); v.Quarantined == 0 {
 			t.Errorf("after a third termination, in a restarted node: %+v", v)
 		}
 		time.Sleep(time.Second)
@@ -162,15 +162,15 @@
 		third := startNode(t, m, true)
 		defer third.stop(t)
 		time.Sleep(time.Second)
-		if v := third.Judge(time.Now(), 9); v.Quarantined == 0 {
+		if v := third.Verdict(time.Now(), 9); v.Quarantined == 0 {
 			t.Errorf("in a node restarted after that: %+v", v)
 		}
-		third.Served(time.Now(), 9)
+		third.RecordSuccess(time.Now(), 9)
 		time.Sleep(time.Second)
 		fourth := startNode(t, m, true)
 		defer fourth.stop(t)
 		time.Sleep(time.Second)
-		if v := fourth.Judge(time.Now(), 9); v != (Verdict{}) {
+		if v := fourth.Verdict(time.Now(), 9); v != (Verdict{}) {
 			t.Errorf("after a response: %+v", v)
 		}
 	})
@@ -184,7 +184,7 @@
 		t.Helper()
 		time.Sleep(5 * time.Second)
 		for i, n := range nodes {
-			if v := n.Judge(time.Now(), 9); v.Quarantined == 0 {
+			if v := n.Verdict(time.Now(), 9); v.Quarantined == 0 {
 				t.Errorf("node %d: %+v", i, v)
 			}
 		}
@@ -234,7 +234,7 @@
 		m.set(func(m *memoryStore) { m.stalled = false })
 		b.archive.Refresh()
 		time.Sleep(time.Second)
-		if v := b.Judge(time.Now(), 9); v.Quarantined == 0 {
+		if v := b.Verdict(time.Now(), 9); v.Quarantined == 0 {
 			t.Errorf("a second after the platform became reachable again: %+v", v)
 		}
 	})
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,8 +12,8 @@
 func fullTable(n int) *Table {
 	t := NewTable()
 	for i := range n {
-		for life := range Life(3) {
-			t.Ended(start, Fingerprint(i+1)*0x9e3779b97f4a7c15, life*0x9e3779b9, true)
+		for life := range Incarnation(3) {
+			t.RecordTermination(start, Fingerprint(i+1)*0x9e3779b97f4a7c15, life*0x9e3779b9, true)
 		}
 	}
 	return t
@@ -28,7 +28,7 @@
 	table := fullTable(maxConfirmed)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	records := table.Proved(start)
+	records := table.Confirmed(start)
 	message := 0
 	for _, r := range records {
 		message += proto.Size(toWire(start.Add(time.Minute), r))
@@ -38,7 +38,7 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		table.Judge(start, 7)
+		table.Verdict(start, 7)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/maxConfirmed, "held-B/record")
 	b.ReportMetric(float64(message)/maxConfirmed, "told-B/record")
@@ -52,13 +52,13 @@
 	i := 0
 	for b.Loop() {
 		i++
-		table.Ended(start, Fingerprint(i), 1, true)
+		table.RecordTermination(start, Fingerprint(i), 1, true)
 	}
 }
 
 // BenchmarkFingerprint measures the cost of the fingerprint of a request with a body of 600 bytes.
 func BenchmarkFingerprint(b *testing.B) {
-	a := Asked{Team: "team", Method: "POST", Host: "host.example", Target: "/route/391ef8", Body: make([]byte, 600)}
+	a := Request{Team: "team", Method: "POST", Host: "host.example", Target: "/route/391ef8", Body: make([]byte, 600)}
 	for b.Loop() {
 		a.Fingerprint()
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -14,7 +14,7 @@
 type Fingerprint uint64
 
 // Request holds the parts of a request that make up its fingerprint.
-type Asked struct {
+type Request struct {
 	Team   string
 	Method string
 	Host   string
@@ -25,7 +25,7 @@
 
 // Fingerprint returns a cryptographic hash, so that a team cannot craft a request that is counted as
 // another team's. 64 bits are enough for the thousands of requests that are known at a time.
-func (a Asked) Fingerprint() Fingerprint {
+func (a Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, field := range [...]string{a.Team, a.Method, a.Host, a.Target} {
 		var length [8]byte
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -51,7 +51,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
-	records, lastChange := g.table.Since(now, p.requestChange, maxMessageRecords, relay)
+	records, lastChange := g.table.ChangedSince(now, p.requestChange, maxMessageRecords, relay)
 	p.pendingChange = lastChange
 	return g.message(now, p, records, p.digestDiffers)
 }
@@ -77,7 +77,7 @@
 	p := g.peer(peer)
 	var records []Record
 	if member {
-		records, p.responseChange = g.table.Since(now, p.responseChange, maxMessageRecords, true)
+		records, p.responseChange = g.table.ChangedSince(now, p.responseChange, maxMessageRecords, true)
 	}
 	return g.message(now, p, records, differs)
 }
@@ -87,7 +87,7 @@
 	out := &marbleroadv1.QuarantineNews{Digest: g.table.Digest(now)}
 	if differs && now.Sub(p.fullSentAt) >= fullSyncInterval {
 		p.fullSentAt = now
-		records = append(records, g.table.Proved(now)...)
+		records = append(records, g.table.Confirmed(now)...)
 	}
 	for _, r := range records {
 		out.Records = append(out.Records, toWire(now, r))
@@ -119,9 +119,9 @@
 
 // toWire encodes a record as a message, with ages in place of times.
 func toWire(now time.Time, r Record) *marbleroadv1.RequestRecord {
-	out := &marbleroadv1.RequestRecord{Fingerprint: uint64(r.Fingerprint), Proved: r.Proved}
-	for _, e := range r.Ends {
-		out.Lives = append(out.Lives, uint32(e.Life))
+	out := &marbleroadv1.RequestRecord{Fingerprint: uint64(r.Fingerprint), Proved: r.Confirmed}
+	for _, e := range r.Terminations {
+		out.Lives = append(out.Lives, uint32(e.Incarnation))
 		out.AgesMs = append(out.AgesMs, ageMS(now, e.At))
 	}
 	if !r.ClearedAt.IsZero() {
@@ -137,11 +137,11 @@
 
 // fromWire decodes a record. Terminations without an age are left out.
 func fromWire(at time.Time, r *marbleroadv1.RequestRecord) Record {
-	out := Record{Fingerprint: Fingerprint(r.GetFingerprint()), Proved: r.GetProved()}
+	out := Record{Fingerprint: Fingerprint(r.GetFingerprint()), Confirmed: r.GetProved()}
 	before := func(ms uint32) time.Time { return at.Add(-time.Duration(ms) * time.Millisecond) }
 	for i, age := range r.GetAgesMs() {
 		if i < len(r.GetLives()) {
-			out.add(End{Life(r.GetLives()[i]), before(age)})
+			out.add(Termination{Incarnation(r.GetLives()[i]), before(age)})
 		}
 	}
 	if r.ClearedAgeMs != nil {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -8,23 +8,23 @@
 )
 
 // Incarnation identifies one incarnation of an upstream VM by a hash.
-type Life uint32
+type Incarnation uint32
 
 // IncarnationOf returns the hash of a VM's incarnation that started at born, in Unix milliseconds;
 // born is 0 while it is not known.
-func LifeOf(vm string, born int64) Life {
+func IncarnationOf(vm string, born int64) Incarnation {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(vm)
 	for ; born > 0; born >>= 8 {
 		_, _ = d.Write([]byte{byte(born)})
 	}
-	return Life(d.Sum64())
+	return Incarnation(d.Sum64())
 }
 
 // Termination records that an incarnation of a VM terminated while it ran the request.
-type End struct {
-	Life Life
+type Termination struct {
+	Incarnation Incarnation
 	At   time.Time
 }
 
@@ -34,7 +34,7 @@
 	Fingerprint Fingerprint
 	// Terminations lists the incarnations that terminated under the request since it was last
 	// answered, the oldest first, at most maxTerminations.
-	Ends []End
+	Terminations []Termination
 	// ClearedAt is when the request was last answered; zero when it has not been answered since the
 	// record exists.
 	ClearedAt time.Time
@@ -42,7 +42,7 @@
 	QuarantinedAt time.Time
 	// Confirmed is true once two incarnations have terminated under the request, even if it has been
 	// cleared since.
-	Proved bool
+	Confirmed bool
 
 	// change is the table's sequence number of the record's newest change.
 	change uint64
@@ -79,36 +79,36 @@
 )
 
 // ExpiresAt returns when the record expires.
-func (r *Record) Until() time.Time {
+func (r *Record) ExpiresAt() time.Time {
 	newest := r.ClearedAt
-	if n := len(r.Ends); n > 0 && r.Ends[n-1].At.After(newest) {
-		newest = r.Ends[n-1].At
+	if n := len(r.Terminations); n > 0 && r.Terminations[n-1].At.After(newest) {
+		newest = r.Terminations[n-1].At
 	}
 	switch {
 	case !r.QuarantinedAt.IsZero():
 		return r.QuarantinedAt.Add(quarantineDuration)
-	case r.Proved:
+	case r.Confirmed:
 		return newest.Add(confirmedRetention)
-	case len(r.Ends) > 0:
+	case len(r.Terminations) > 0:
 		return newest.Add(suspectRetention)
 	}
 	return newest.Add(clearedRetention)
 }
 
 // add adds a termination and reports whether it was new.
-func (r *Record) add(e End) bool {
-	if !e.At.After(r.ClearedAt) || slices.ContainsFunc(r.Ends, func(k End) bool { return k.Life == e.Life }) {
+func (r *Record) add(e Termination) bool {
+	if !e.At.After(r.ClearedAt) || slices.ContainsFunc(r.Terminations, func(k Termination) bool { return k.Incarnation == e.Incarnation }) {
 		return false
 	}
-	if len(r.Ends) == maxTerminations {
+	if len(r.Terminations) == maxTerminations {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
-	r.Ends = slices.Insert(r.Ends, at, e)
-	r.Proved = r.Proved || len(r.Ends) >= terminationsToConfirm
-	if len(r.Ends) >= terminationsAmongSuspects && r.QuarantinedAt.IsZero() {
+	at, _ := slices.BinarySearchFunc(r.Terminations, e, func(a, b Termination) int { return a.At.Compare(b.At) })
+	r.Terminations = slices.Insert(r.Terminations, at, e)
+	r.Confirmed = r.Confirmed || len(r.Terminations) >= terminationsToConfirm
+	if len(r.Terminations) >= terminationsAmongSuspects && r.QuarantinedAt.IsZero() {
 		// This also applies when no single node observed that many, but several nodes together did.
-		r.QuarantinedAt = r.Ends[len(r.Ends)-1].At
+		r.QuarantinedAt = r.Terminations[len(r.Terminations)-1].At
 	}
 	return true
 }
@@ -117,13 +117,13 @@
 // this is the first response, or one after a termination or a quarantine. Otherwise two nodes would
 // keep sending each other the same response, each time a little later by the time in transit.
 func (r *Record) clear(at time.Time) bool {
-	ended := len(r.Ends) > 0 && !r.Ends[0].At.After(at)
+	ended := len(r.Terminations) > 0 && !r.Terminations[0].At.After(at)
 	quarantined := !r.QuarantinedAt.IsZero() && !r.QuarantinedAt.After(at)
 	if !at.After(r.ClearedAt) || !(r.ClearedAt.IsZero() || ended || quarantined) {
 		return false
 	}
 	r.ClearedAt = at
-	r.Ends = slices.DeleteFunc(r.Ends, func(e End) bool { return !e.At.After(at) })
+	r.Terminations = slices.DeleteFunc(r.Terminations, func(e Termination) bool { return !e.At.After(at) })
 	if quarantined {
 		r.QuarantinedAt = time.Time{}
 	}
@@ -133,7 +133,7 @@
 // merge adds what another record of the same request holds, and reports whether that changes this one.
 func (r *Record) merge(other Record) bool {
 	changed := !other.ClearedAt.IsZero() && r.clear(other.ClearedAt)
-	for _, e := range other.Ends {
+	for _, e := range other.Terminations {
 		if r.add(e) {
 			changed = true
 		}
@@ -142,8 +142,8 @@
 		r.QuarantinedAt = other.QuarantinedAt
 		changed = true
 	}
-	if other.Proved && !r.Proved {
-		r.Proved = true
+	if other.Confirmed && !r.Confirmed {
+		r.Confirmed = true
 		changed = true
 	}
 	return changed
@@ -161,8 +161,8 @@
 	}
 	write(uint64(r.Fingerprint))
 	sum := uint64(0)
-	for _, e := range r.Ends {
-		sum += uint64(e.Life)*2 + 1
+	for _, e := range r.Terminations {
+		sum += uint64(e.Incarnation)*2 + 1
 	}
 	write(sum)
 	if !r.QuarantinedAt.IsZero() {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -44,51 +44,51 @@
 
 // OnConfirmed registers a function that is called when this node itself observes a change of a
 // confirmed record, which others must keep. It must be called before the table is used.
-func (t *Table) OnProved(f func()) { t.onConfirmed = append(t.onConfirmed, f) }
+func (t *Table) OnConfirmed(f func()) { t.onConfirmed = append(t.onConfirmed, f) }
 
 // Verdict is a table's judgement of a request.
 type Verdict struct {
 	// Terminations is how many incarnations terminated under the request since it was last answered.
-	Ends int
+	Terminations int
 	// Quarantined is how long the request remains in quarantine; 0 when it is not in quarantine.
 	Quarantined time.Duration
 }
 
 // Suspected reports whether the request must run separate from other suspects.
-func (v Verdict) Suspected() bool { return v.Ends >= terminationsToConfirm }
+func (v Verdict) Suspected() bool { return v.Terminations >= terminationsToConfirm }
 
-// Judge returns the verdict on a request.
-func (t *Table) Judge(now time.Time, f Fingerprint) Verdict {
+// Verdict returns the verdict on a request.
+func (t *Table) Verdict(now time.Time, f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	if r == nil || !now.Before(r.Until()) {
+	if r == nil || !now.Before(r.ExpiresAt()) {
 		return Verdict{}
 	}
-	v := Verdict{Ends: len(r.Ends)}
+	v := Verdict{Terminations: len(r.Terminations)}
 	if !r.QuarantinedAt.IsZero() {
-		v.Quarantined = r.Until().Sub(now)
+		v.Quarantined = r.ExpiresAt().Sub(now)
 	}
 	return v
 }
 
 // RecordTermination records that a VM's incarnation terminated while it ran the request. onlySuspect
 // is true when the VM ran no other suspect.
-func (t *Table) Ended(now time.Time, f Fingerprint, life Life, onlySuspect bool) Verdict {
+func (t *Table) RecordTermination(now time.Time, f Fingerprint, life Incarnation, onlySuspect bool) Verdict {
 	t.mu.Lock()
 	t.sweep(now)
 	r := t.record(f)
 	r.observedHere = true
 	wasFree := r.QuarantinedAt.IsZero()
-	changed := r.add(End{life, now})
-	if onlySuspect && r.QuarantinedAt.IsZero() && len(r.Ends) >= terminationsToQuarantine {
+	changed := r.add(Termination{life, now})
+	if onlySuspect && r.QuarantinedAt.IsZero() && len(r.Terminations) >= terminationsToQuarantine {
 		r.QuarantinedAt = now
 	}
 	quarantined := wasFree && !r.QuarantinedAt.IsZero()
 	if changed || quarantined {
 		t.markChanged(r)
 	}
-	confirmed := r.Proved && (changed || quarantined)
+	confirmed := r.Confirmed && (changed || quarantined)
 	t.mu.Unlock()
 	if quarantined {
 		t.notifyQuarantined(f)
@@ -96,15 +96,15 @@
 	if confirmed {
 		t.notifyConfirmed()
 	}
-	return t.Judge(now, f)
+	return t.Verdict(now, f)
 }
 
 // RecordSuccess records that the request got a complete response, so it does not crash the upstreams
 // that run it.
-func (t *Table) Served(now time.Time, f Fingerprint) {
+func (t *Table) RecordSuccess(now time.Time, f Fingerprint) {
 	t.mu.Lock()
 	r := t.records[f]
-	if r == nil || (len(r.Ends) == 0 && r.QuarantinedAt.IsZero()) {
+	if r == nil || (len(r.Terminations) == 0 && r.QuarantinedAt.IsZero()) {
 		t.mu.Unlock()
 		return
 	}
@@ -113,7 +113,7 @@
 	if changed {
 		t.markChanged(r)
 	}
-	confirmed := r.Proved
+	confirmed := r.Confirmed
 	t.mu.Unlock()
 	if changed && confirmed {
 		t.notifyConfirmed()
@@ -127,7 +127,7 @@
 	t.mu.Lock()
 	t.sweep(now)
 	for _, other := range records {
-		if !now.Before(other.Until()) {
+		if !now.Before(other.ExpiresAt()) {
 			continue
 		}
 		r := t.record(other.Fingerprint)
@@ -149,7 +149,7 @@
 }
 
 // HasRecords reports whether the table holds any record.
-func (t *Table) Known() bool {
+func (t *Table) HasRecords() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records) > 0
@@ -166,14 +166,14 @@
 // ChangedSince returns the records that changed after the given change, the newest change last and at
 // most limit of them, and the number of the newest change among them. Without relay it leaves out
 // unconfirmed records that this node only received from others.
-func (t *Table) Since(now time.Time, change uint64, limit int, relay bool) ([]Record, uint64) {
+func (t *Table) ChangedSince(now time.Time, change uint64, limit int, relay bool) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	if t.changes == change {
 		return nil, change
 	}
-	out := t.collect(func(r *Record) bool { return r.change > change && (relay || r.observedHere || r.Proved) })
+	out := t.collect(func(r *Record) bool { return r.change > change && (relay || r.observedHere || r.Confirmed) })
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.change, b.change) })
 	if len(out) > limit {
 		out = out[:limit]
@@ -183,24 +183,24 @@
 }
 
 // Confirmed returns the confirmed records.
-func (t *Table) Proved(now time.Time) []Record {
+func (t *Table) Confirmed(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
-	out := t.collect(func(r *Record) bool { return r.Proved })
+	out := t.collect(func(r *Record) bool { return r.Confirmed })
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return out
 }
 
 // Suspects returns all records with terminations: those in quarantine first, then those with the most
 // terminations.
-func (t *Table) All(now time.Time) []Record {
+func (t *Table) Suspects(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
-	out := t.collect(func(r *Record) bool { return len(r.Ends) > 0 && now.Before(r.Until()) })
+	out := t.collect(func(r *Record) bool { return len(r.Terminations) > 0 && now.Before(r.ExpiresAt()) })
 	slices.SortFunc(out, func(a, b Record) int {
-		return cmp.Or(b.QuarantinedAt.Compare(a.QuarantinedAt), len(b.Ends)-len(a.Ends), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(b.QuarantinedAt.Compare(a.QuarantinedAt), len(b.Terminations)-len(a.Terminations), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return out
 }
@@ -211,7 +211,7 @@
 	for _, r := range t.records {
 		if selected(r) {
 			copied := *r
-			copied.Ends = slices.Clone(r.Ends)
+			copied.Terminations = slices.Clone(r.Terminations)
 			out = append(out, copied)
 		}
 	}
@@ -244,7 +244,7 @@
 func (t *Table) markChanged(r *Record) {
 	t.changes++
 	r.change = t.changes
-	if r.Proved {
+	if r.Confirmed {
 		t.recount()
 	}
 }
@@ -253,7 +253,7 @@
 func (t *Table) recount() {
 	t.confirmed, t.digest = 0, 0
 	for _, r := range t.records {
-		if r.Proved {
+		if r.Confirmed {
 			t.confirmed++
 			t.digest ^= r.contentHash()
 		}
@@ -268,11 +268,11 @@
 	t.sweptAt = now
 	before := len(t.records)
 	for f, r := range t.records {
-		if !now.Before(r.Until()) {
+		if !now.Before(r.ExpiresAt()) {
 			delete(t.records, f)
 		}
 	}
-	t.bound(maxConfirmed, func(r *Record) bool { return r.Proved })
+	t.bound(maxConfirmed, func(r *Record) bool { return r.Confirmed })
 	t.bound(maxRecords/2, func(*Record) bool { return len(t.records) >= maxRecords })
 	if len(t.records) != before {
 		t.recount()
@@ -290,7 +290,7 @@
 	if len(all) <= limit {
 		return
 	}
-	slices.SortFunc(all, func(a, b *Record) int { return a.Until().Compare(b.Until()) })
+	slices.SortFunc(all, func(a, b *Record) int { return a.ExpiresAt().Compare(b.ExpiresAt()) })
 	for _, r := range all[:len(all)-limit] {
 		delete(t.records, r.Fingerprint)
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -18,7 +18,7 @@
 func TestVerdicts(t *testing.T) {
 	type step struct {
 		at          float64
-		life        Life // 0 for a complete response
+		life        Incarnation // 0 for a complete response
 		onlySuspect bool
 		ends        int
 		quarantined bool
@@ -36,11 +36,11 @@
 			table := NewTable()
 			for i, s := range steps {
 				if s.life == 0 {
-					table.Served(at(s.at), 9)
+					table.RecordSuccess(at(s.at), 9)
 				} else {
-					table.Ended(at(s.at), 9, s.life, s.onlySuspect)
+					table.RecordTermination(at(s.at), 9, s.life, s.onlySuspect)
 				}
-				if v := table.Judge(at(s.at), 9); v.Ends != s.ends || (v.Quarantined > 0) != s.quarantined {
+				if v := table.Verdict(at(s.at), 9); v.Terminations != s.ends || (v.Quarantined > 0) != s.quarantined {
 					t.Errorf("step %d: %+v, expected %+v", i, v, s)
 				}
 			}
@@ -54,12 +54,12 @@
 	a, b := NewTable(), NewTable()
 	var notified []Fingerprint
 	a.OnQuarantine(func(f Fingerprint) { notified = append(notified, f) })
-	for life := range Life(2) {
-		a.Ended(at(1), 9, life, true)
-		b.Ended(at(1), 9, life+2, true)
+	for life := range Incarnation(2) {
+		a.RecordTermination(at(1), 9, life, true)
+		b.RecordTermination(at(1), 9, life+2, true)
 	}
-	a.Merge(at(2), b.Proved(at(2)))
-	if v := a.Judge(at(2), 9); v.Quarantined == 0 || len(notified) != 1 {
+	a.Merge(at(2), b.Confirmed(at(2)))
+	if v := a.Verdict(at(2), 9); v.Quarantined == 0 || len(notified) != 1 {
 		t.Errorf("%+v, notified of %v", v, notified)
 	}
 }
@@ -68,16 +68,16 @@
 // quarantined again.
 func TestQuarantineExpires(t *testing.T) {
 	table := NewTable()
-	for life := range Life(3) {
-		table.Ended(at(float64(life)), 9, life+1, true)
+	for life := range Incarnation(3) {
+		table.RecordTermination(at(float64(life)), 9, life+1, true)
 	}
-	if v := table.Judge(at(3590), 9); v.Quarantined <= 0 {
+	if v := table.Verdict(at(3590), 9); v.Quarantined <= 0 {
 		t.Errorf("released early: %+v", v)
 	}
-	if v := table.Judge(at(3603), 9); v != (Verdict{}) {
+	if v := table.Verdict(at(3603), 9); v != (Verdict{}) {
 		t.Errorf("still quarantined: %+v", v)
 	}
-	if v := table.Ended(at(3604), 9, 7, true); v.Ends != 1 {
+	if v := table.RecordTermination(at(3604), 9, 7, true); v.Terminations != 1 {
 		t.Errorf("after its release: %+v", v)
 	}
 }
@@ -99,13 +99,13 @@
 // the table beyond its bounds, and those in quarantine are dropped last.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
-	for life := range Life(3) {
-		table.Ended(at(0), 1, life+1, true)
+	for life := range Incarnation(3) {
+		table.RecordTermination(at(0), 1, life+1, true)
 	}
 	for i := range 4 * maxRecords {
-		table.Ended(at(float64(i)/1000), Fingerprint(i+2), 1, true)
+		table.RecordTermination(at(float64(i)/1000), Fingerprint(i+2), 1, true)
 		if i%8 == 0 {
-			table.Ended(at(float64(i)/1000), Fingerprint(i+2), 2, true)
+			table.RecordTermination(at(float64(i)/1000), Fingerprint(i+2), 2, true)
 		}
 	}
 	records, confirmed, quarantined := table.sizes(at(60))
@@ -125,19 +125,19 @@
 			case 0:
 				r.ClearedAt = when
 			default:
-				r.add(End{Life(rapid.IntRange(1, 4).Draw(t, "life")), when})
+				r.add(Termination{Incarnation(rapid.IntRange(1, 4).Draw(t, "life")), when})
 			}
 			return r
 		})
 		updates := rapid.SliceOfN(update, 1, 12).Draw(t, "facts")
 		// An incarnation terminates once.
-		terminatedAt := make(map[Life]time.Time)
+		terminatedAt := make(map[Incarnation]time.Time)
 		for i := range updates {
-			for k, e := range updates[i].Ends {
-				if earlier, ok := terminatedAt[e.Life]; ok {
-					updates[i].Ends[k].At = earlier
+			for k, e := range updates[i].Terminations {
+				if earlier, ok := terminatedAt[e.Incarnation]; ok {
+					updates[i].Terminations[k].At = earlier
 				}
-				terminatedAt[e.Life] = updates[i].Ends[k].At
+				terminatedAt[e.Incarnation] = updates[i].Terminations[k].At
 			}
 		}
 		order := rapid.Permutation(updates).Draw(t, "order")
@@ -149,7 +149,7 @@
 			a.Merge(at(20), b.collect(func(*Record) bool { return true }))
 		}
 		for f := range Fingerprint(4) {
-			if x, y := a.Judge(at(20), f), b.Judge(at(20), f); x.Ends != y.Ends {
+			if x, y := a.Verdict(at(20), f), b.Verdict(at(20), f); x.Terminations != y.Terminations {
 				t.Fatalf("request %d: %+v and %+v", f, x, y)
 			}
 		}
@@ -165,12 +165,12 @@
 // TestRecordsOnTheWire: a decoded record equals the encoded one, with its ages counted back from the
 // time of receipt.
 func TestRecordsOnTheWire(t *testing.T) {
-	r := Record{Fingerprint: 1 << 63, ClearedAt: at(1), QuarantinedAt: at(9), Proved: true}
-	for life := range Life(3) {
-		r.add(End{life + 1, at(float64(life) + 2)})
+	r := Record{Fingerprint: 1 << 63, ClearedAt: at(1), QuarantinedAt: at(9), Confirmed: true}
+	for life := range Incarnation(3) {
+		r.add(Termination{life + 1, at(float64(life) + 2)})
 	}
 	got := fromWire(at(100), toWire(at(10), r))
-	if got.contentHash() != r.contentHash() || !got.ClearedAt.Equal(at(91)) || !got.QuarantinedAt.Equal(at(99)) || !got.Ends[0].At.Equal(at(92)) {
+	if got.contentHash() != r.contentHash() || !got.ClearedAt.Equal(at(91)) || !got.QuarantinedAt.Equal(at(99)) || !got.Terminations[0].At.Equal(at(92)) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -178,9 +178,9 @@
 // TestFingerprints: the same path and body of the same team have the same fingerprint; a request that
 // differs in anything has another one.
 func TestFingerprints(t *testing.T) {
-	one := Asked{Team: "a", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("b")}
+	one := Request{Team: "a", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("b")}
 	seen := map[Fingerprint]bool{one.Fingerprint(): true}
-	for _, other := range []Asked{
+	for _, other := range []Request{
 		{Team: "b", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("b")},
 		{Team: "a", Method: "GET", Host: "h", Target: "/x?y", Body: []byte("b")},
 		{Team: "a", Method: "POST", Host: "i", Target: "/x?y", Body: []byte("b")},
@@ -194,7 +194,7 @@
 			seen[f] = true
 		}
 	}
-	if one.Fingerprint() != (Asked{Team: "a", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("b")}).Fingerprint() {
+	if one.Fingerprint() != (Request{Team: "a", Method: "POST", Host: "h", Target: "/x?y", Body: []byte("b")}).Fingerprint() {
 		t.Error("one request has two fingerprints")
 	}
 }
--- a/internal/routing/tracker.go
+++ b/internal/routing/tracker.go
@@ -207,7 +207,7 @@
 // Rest notes that an upstream wants no request of this entry for so long.
 func (t *Tracker) Rest(now time.Time, id string, rest time.Duration) {
 	s := t.stats(id)
-	if until := now.Add(min(rest, backpressure.LongestRest)); until.After(s.restsUntil) {
+	if until := now.Add(min(rest, backpressure.MaxBackoff)); until.After(s.restsUntil) {
 		s.restsUntil = until
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -289,7 +289,7 @@
   's/if !b\.serves\(c\)/if false/' ./internal/gateway TestMadeUpNamesLeaveNothingBehind
 
 mutant "ends are not counted together" internal/quarantine/record.go \
-  's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestTerminationsOfMergedTablesAddUp
+  's/r\.Terminations = slices\.Insert\(r\.Terminations, at, e\)/r.Terminations = slices.Insert(r.Terminations[:0], at*0, e)/' ./internal/quarantine TestTerminationsOfMergedTablesAddUp
 mutant "two ends are enough" internal/quarantine/record.go \
   's/terminationsToQuarantine = 3/terminationsToQuarantine = 2/' ./internal/quarantine TestVerdicts
 mutant "company does not matter" internal/quarantine/table.go \
@@ -315,7 +315,7 @@
 mutant "the store is asked every second" internal/quarantine/archive.go \
   's/watchTimeout = 10 \* time\.Second/watchTimeout = time.Second/' ./internal/quarantine TestArchiveMakesFewCalls
 mutant "each answer that is told is news" internal/quarantine/record.go \
-  's/ended := len\(r\.Ends\) > 0 \&\& !r\.Ends\[0\]\.At\.After\(at\)/ended := len(r.Ends) == 0/' ./internal/quarantine TestMergesConverge
+  's/ended := len\(r\.Terminations\) > 0 \&\& !r\.Terminations\[0\]\.At\.After\(at\)/ended := len(r.Terminations) == 0/' ./internal/quarantine TestMergesConverge
 mutant "a hanging watch is waited for" internal/quarantine/archive.go \
   's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestRefreshCancelsHangingWatch
 mutant "a suspension does not count" internal/clock/clock.go \
@@ -382,13 +382,13 @@
 mutant "heads are filled beyond their room" internal/spread/spread.go \
   's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
-  's/if !c\.limit\.active \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
+  's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
   's/if !heard \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
   's/if count >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a foreign node uses the whole limit" internal/backpressure/sharing.go \
-  's/if !s\.Foreign \{\n\t\tcount/if true {\n\t\tcount/' ./internal/backpressure TestHoldersTogetherKeepToLimit
+  's/if !s\.Remote \{\n\t\tcount/if true {\n\t\tcount/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a new holder does not wait" internal/backpressure/limit.go \
   's/now\.Add\(handoverDelay\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
 mutant "backpressure: an older answer ends a limit" internal/backpressure/table.go \
@@ -398,9 +398,9 @@
 mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
   's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestLimitIsKeptByNodesThatAreToldOfIt
 mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
-  's/\t\tb\.conditions\.Unsent\(lifeOf\(to\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
+  's/\t\tb\.conditions\.UndoSent\(lifeOf\(to\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
-  's/hold := b\.hold\(now, t, kept\); hold\.Back/hold := b.hold(now, t, kept); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
+  's/hold := b\.hold\(now, t, kept\); hold\.Throttled/hold := b.hold(now, t, kept); hold.Throttled \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
   's/needed := 1 \+ min\(reserve, maxReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
@@ -412,7 +412,7 @@
 mutant "backpressure: all come at once after a rest" internal/backpressure/rest.go \
   's/if b\.probing \{/if false {/' ./internal/backpressure TestSingleProbeAfterBackoff
 mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
-  's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestBackoffIsBounded
+  's/min\(n\.Backoff, MaxBackoff\)/n.Backoff/' ./internal/backpressure TestBackoffIsBounded
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
   's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -64,7 +64,7 @@
 mutant "a stop cuts nothing" internal/daemon/daemon.go 's/if s == syscall\.SIGINT/if true/'
 mutant "a held-up node blames nobody" internal/gateway/heldup.go 's/if first \|\| elapsed <= usualLate/if first || elapsed >= 0/' "--planned --engines 12 --callers 40"
 mutant "crashing requests end" internal/gateway/suspects.go 's/case j\.c\.judged\.Quarantined > 0:/case false:/; s/one\.cancel\(errQuarantined\)/_ = one/'
-mutant "limits of upstreams" internal/backpressure/table.go 's/if !c\.limit\.active \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/'
+mutant "limits of upstreams" internal/backpressure/table.go 's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/'
 mutant "rests of upstreams" internal/backpressure/rest.go 's/if now\.Before\(b\.until\) \{/if false {/'
 mutant "upstreams that say they leave" 'internal/gateway/condition.go internal/fleet/directory.go' 's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//; s/\td\.leavers\.mark\(vms\)\n//'
 wait
