--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -201,8 +201,8 @@
 func TestBackoffIsBounded(t *testing.T) {
 	table := NewTable()
 	table.Observe(at(0), at(0), incarnation, backoffOf(1e9))
-	if hold := table.Check(at(3700), incarnation, 0, onlyNode); hold.Throttled {
-		t.Errorf("still throttled for %v after an hour", hold.Wait)
+	if throttle := table.Check(at(3700), incarnation, 0, onlyNode); throttle.Throttled {
+		t.Errorf("still throttled for %v after an hour", throttle.Wait)
 	}
 }
 
--- a/internal/backpressure/sharing.go
+++ b/internal/backpressure/sharing.go
@@ -16,7 +16,8 @@
 	// that is not among them uses nothing of the limit.
 	Nodes []string
 	// Remote is true when Nodes belong to other failure domains, because no node of the VMs' own
-	// failure domain is reachable. Those nodes may be running behind a network partition.
+	// failure domain is reachable. The nodes of that domain may still be running behind a network
+	// partition.
 	Remote bool
 }
 
@@ -27,8 +28,8 @@
 	// remoteFraction is the fraction of a limit that a node of another failure domain uses. Holders
 	// behind a network partition may use the limit at the same time.
 	remoteFraction = 0.25
-	// combinedBurstSeconds and combinedBurstRequests bound what all holders together may send at once: combinedBurstRequests requests,
-	// and the requests of combinedBurstSeconds seconds at the limit in addition.
+	// combinedBurstSeconds and combinedBurstRequests bound what all holders together may send at once:
+	// combinedBurstRequests requests, plus the requests of combinedBurstSeconds seconds at the limit.
 	combinedBurstSeconds  = 1
 	combinedBurstRequests = 1.5
 	// minRate is the lowest rate of requests per second. Without any requests no node learns that the
@@ -43,11 +44,11 @@
 	if !slices.Contains(holders, s.Self) {
 		return 0
 	}
-	part := usedFraction
+	fraction := usedFraction
 	if s.Remote {
-		part = remoteFraction
+		fraction = remoteFraction
 	}
-	return max(limit*part, minRate) / float64(len(holders))
+	return max(limit*fraction, minRate) / float64(len(holders))
 }
 
 // holders returns the nodes that use the limit. They are many, so that enough callers reach one of
--- a/internal/backpressure/table.go
+++ b/internal/backpressure/table.go
@@ -15,8 +15,8 @@
 
 // matches reports whether two values may identify the same incarnation. An unknown start time matches
 // any.
-func (l Incarnation) matches(other Incarnation) bool {
-	return l.VM == other.VM && (l.Born == other.Born || l.Born == 0 || other.Born == 0)
+func (i Incarnation) matches(other Incarnation) bool {
+	return i.VM == other.VM && (i.Born == other.Born || i.Born == 0 || other.Born == 0)
 }
 
 // Record is what nodes send each other about one VM.
@@ -35,7 +35,6 @@
 // Change is how an update changed what is known of a VM's limit.
 type Change uint8
 
-// The changes.
 const (
 	Unchanged Change = iota
 	// LimitSet means that the VM starts to report a limit, LimitChanged that it reports a different
--- a/internal/backpressure/wire.go
+++ b/internal/backpressure/wire.go
@@ -19,13 +19,13 @@
 	return out
 }
 
-// Decode returns the record that a message holds. createdAt is the time from which the message's ages
-// count back, at or after its creation.
-func Decode(c *marbleroadv1.UpstreamCondition, createdAt time.Time) Record {
+// Decode returns the record that a message holds. The message was created at notBefore or later; its
+// ages count back from notBefore.
+func Decode(c *marbleroadv1.UpstreamCondition, notBefore time.Time) Record {
 	out := Record{Incarnation: Incarnation{VM: c.GetVm(), Born: c.GetBorn()}, Leaving: c.GetLeaving()}
 	if c.LimitAgeMs != nil {
 		age := time.Duration(c.GetLimitAgeMs()) * time.Millisecond
-		out.Limited, out.Limit, out.At = c.Limit != nil, c.GetLimit(), createdAt.Add(-age)
+		out.Limited, out.Limit, out.At = c.Limit != nil, c.GetLimit(), notBefore.Add(-age)
 	}
 	return out
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -44,7 +44,7 @@
 	// minPlatformBackoff is how long a follower whose own call to the platform failed too queries only
 	// its leaders; a jitter of up to half of it is added. Otherwise all nodes call an unreachable
 	// store every 0.8 s and more often. 295 nodes made 10,339 calls on a day with an outage of 8 s and
-	// partitions, 4,578 on a day without faults; the effect of the backoff alone is unknown.
+	// partitions, 4,578 on a quiet day; the effect of the backoff alone is unknown.
 	minPlatformBackoff = 2 * time.Second
 	// maxLeaders is how many nodes of a failure domain are followed, one after the other. A partition
 	// or a store that refuses calls affects some nodes at a time; when all of these are disconnected,
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -411,7 +411,7 @@
 // TestFollowersBackOffFromUnreachableStore: while the store was unreachable, the leaders of each
 // failure domain reported that they were disconnected, and all their followers called the store
 // themselves, every 0.8 s and more often: 10,339 calls of 295 nodes on a day with an outage of 8 s and
-// partitions, 4,578 on a day without faults.
+// partitions, 4,578 on a quiet day.
 func TestFollowersBackOffFromUnreachableStore(t *testing.T) {
 	now := time.Now()
 	idle := func() bool { return false }
@@ -446,7 +446,7 @@
 // together, and a watch that starts right after them waits until it times out. A leader's verification
 // was then up to 1.5 s old. Each time that its watches coincided with the heartbeats, every five to
 // six seconds, all followers of all leaders stopped following at the same moment and read for
-// themselves: 870 times on a day without faults of 295 nodes.
+// themselves: 870 times on a quiet day of 295 nodes.
 //
 //	4026 leader=front-obuda-1 error="its state was last verified 1.33s ago: the leader is unresponsive or disconnected"
 func TestVerificationIsRecentUnderHeartbeatTiming(t *testing.T) {
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -25,7 +25,7 @@
 	*fakePlatform
 	lists, documents atomic.Int64
 
-	line sync.Mutex
+	linkMu sync.Mutex
 	// freeAt is when the link has transferred everything requested so far.
 	freeAt time.Time
 }
@@ -41,14 +41,14 @@
 
 // transfer waits until the link has transferred one more large object.
 func (n *slowLink) transfer() error {
-	n.line.Lock()
+	n.linkMu.Lock()
 	now := time.Now()
 	if n.freeAt.Before(now) {
 		n.freeAt = now
 	}
 	n.freeAt = n.freeAt.Add(transferTime)
 	wait := n.freeAt.Sub(now)
-	n.line.Unlock()
+	n.linkMu.Unlock()
 	time.Sleep(min(wait, callTimeout))
 	if wait > callTimeout {
 		return platform.ErrUnavailable
--- a/internal/feed/picker.go
+++ b/internal/feed/picker.go
@@ -48,8 +48,8 @@
 type picker struct {
 	// rank is this node's rank in the failure domain, which determines when it reads for itself.
 	rank int
-	// fallback is true for a node that queries all others at once, and does not wait until it may read
-	// itself.
+	// fallback is true for a node that may query all other nodes from the start, and does not wait
+	// until it may read itself.
 	fallback bool
 	// limit is how long other nodes are queried, wait how long each may take until it has a response.
 	limit, wait time.Duration
--- a/internal/feed/picker_test.go
+++ b/internal/feed/picker_test.go
@@ -159,7 +159,7 @@
 	}
 	second, _ := p.next(readersDoubling, true)
 	if i := slices.Index(domain, second); i < firstReaders || i >= 2*firstReaders {
-		t.Errorf("node %d is queried after a step", i)
+		t.Errorf("node %d is queried after the number of readers doubled", i)
 	}
 	p.recordResponse(second.ID, errSourceEmpty)
 	if done, err := p.done(peerReadTimeout); !done || !errors.Is(err, errNoneAvailable) {
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -20,7 +20,7 @@
 // Server responds to followers from what this node has read.
 type Server struct {
 	Directory *fleet.Directory
-	Cache    *catalog.Keeper
+	Cache     *catalog.Keeper
 
 	packer packer
 }
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -21,7 +21,9 @@
 	return backpressure.Sharing{Self: "self", Nodes: []string{"self"}}
 }
 
-func lifeOf(vm *fleet.VM) backpressure.Incarnation { return backpressure.Incarnation{VM: vm.ID, Born: vm.Born} }
+func lifeOf(vm *fleet.VM) backpressure.Incarnation {
+	return backpressure.Incarnation{VM: vm.ID, Born: vm.Born}
+}
 
 // heldTargets are targets that were passed over, since they asked for fewer requests.
 type heldTargets struct {
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -267,11 +267,11 @@
 }
 
 type storedRecord struct {
-	Fingerprint uint64  `json:"fingerprint,string"`
-	Lives       []Incarnation  `json:"lives,omitempty"`
-	Ended       []int64 `json:"ended_ms,omitempty"`
-	Cleared     int64   `json:"cleared_ms,omitempty"`
-	Quarantined int64   `json:"quarantined_ms,omitempty"`
+	Fingerprint  uint64        `json:"fingerprint,string"`
+	Incarnations []Incarnation `json:"lives,omitempty"`
+	Terminated   []int64       `json:"ended_ms,omitempty"`
+	Cleared      int64         `json:"cleared_ms,omitempty"`
+	Quarantined  int64         `json:"quarantined_ms,omitempty"`
 }
 
 // encode returns the stored object of some records. now and wall are the same moment by the node's
@@ -287,8 +287,8 @@
 	for _, r := range records {
 		s := storedRecord{Fingerprint: uint64(r.Fingerprint), Cleared: ms(r.ClearedAt), Quarantined: ms(r.QuarantinedAt)}
 		for _, e := range r.Terminations {
-			s.Lives = append(s.Lives, e.Incarnation)
-			s.Ended = append(s.Ended, ms(e.At))
+			s.Incarnations = append(s.Incarnations, e.Incarnation)
+			s.Terminated = append(s.Terminated, ms(e.At))
 		}
 		d.Requests = append(d.Requests, s)
 	}
@@ -311,9 +311,9 @@
 	out := make([]Record, 0, len(d.Requests))
 	for _, s := range d.Requests {
 		r := Record{Fingerprint: Fingerprint(s.Fingerprint), Confirmed: true}
-		for i, ended := range s.Ended {
-			if i < len(s.Lives) {
-				r.add(Termination{s.Lives[i], at(ended)})
+		for i, terminatedAt := range s.Terminated {
+			if i < len(s.Incarnations) {
+				r.add(Termination{s.Incarnations[i], at(terminatedAt)})
 			}
 		}
 		r.ClearedAt, r.QuarantinedAt = at(s.Cleared), at(s.Quarantined)
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -134,9 +134,9 @@
 	}
 }
 
-func (n *archiveNode) terminate(lives ...Incarnation) {
-	for _, life := range lives {
-		n.RecordTermination(time.Now(), 9, life, true)
+func (n *archiveNode) terminate(incarnations ...Incarnation) {
+	for _, incarnation := range incarnations {
+		n.RecordTermination(time.Now(), 9, incarnation, true)
 	}
 }
 
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,8 +12,8 @@
 func fullTable(n int) *Table {
 	t := NewTable()
 	for i := range n {
-		for life := range Incarnation(3) {
-			t.RecordTermination(start, Fingerprint(i+1)*0x9e3779b97f4a7c15, life*0x9e3779b9, true)
+		for incarnation := range Incarnation(3) {
+			t.RecordTermination(start, Fingerprint(i+1)*0x9e3779b97f4a7c15, incarnation*0x9e3779b9, true)
 		}
 	}
 	return t
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -57,21 +57,21 @@
 }
 
 // Asked implements cluster.Quarantine and merges the response to a request.
-func (g *Gossip) Asked(asked time.Time, peer string, news *marbleroadv1.QuarantineNews) {
-	g.receive(asked, peer, news)
-	digest := g.table.Digest(asked)
+func (g *Gossip) Asked(sentAt time.Time, peer string, message *marbleroadv1.QuarantineNews) {
+	g.receive(sentAt, peer, message)
+	digest := g.table.Digest(sentAt)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
 	p.requestChange = max(p.requestChange, p.pendingChange)
-	p.digestDiffers = news != nil && news.GetDigest() != digest
+	p.digestDiffers = message != nil && message.GetDigest() != digest
 }
 
 // Answer implements cluster.Quarantine: it merges the message of a request and returns that of the
 // response.
-func (g *Gossip) Answer(now time.Time, peer string, member bool, news *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
-	g.receive(now, peer, news)
-	differs := news.GetDigest() != g.table.Digest(now)
+func (g *Gossip) Answer(now time.Time, peer string, member bool, message *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
+	g.receive(now, peer, message)
+	differs := message.GetDigest() != g.table.Digest(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
@@ -96,12 +96,12 @@
 }
 
 // receive merges the records of a peer's message. Their ages count back from the given time.
-func (g *Gossip) receive(at time.Time, peer string, news *marbleroadv1.QuarantineNews) {
-	if len(news.GetRecords()) == 0 {
+func (g *Gossip) receive(at time.Time, peer string, message *marbleroadv1.QuarantineNews) {
+	if len(message.GetRecords()) == 0 {
 		return
 	}
-	records := make([]Record, 0, len(news.GetRecords()))
-	for _, r := range news.GetRecords() {
+	records := make([]Record, 0, len(message.GetRecords()))
+	for _, r := range message.GetRecords() {
 		records = append(records, fromWire(at, r))
 	}
 	if changed := g.table.Merge(at, records); changed > 0 {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -25,7 +25,7 @@
 // Termination records that an incarnation of a VM terminated while it ran the request.
 type Termination struct {
 	Incarnation Incarnation
-	At   time.Time
+	At          time.Time
 }
 
 // Record holds what is known of one request. It only grows, except that terminations before ClearedAt
@@ -117,9 +117,9 @@
 // this is the first response, or one after a termination or a quarantine. Otherwise two nodes would
 // keep sending each other the same response, each time a little later by the time in transit.
 func (r *Record) clear(at time.Time) bool {
-	ended := len(r.Terminations) > 0 && !r.Terminations[0].At.After(at)
+	hasTerminations := len(r.Terminations) > 0 && !r.Terminations[0].At.After(at)
 	quarantined := !r.QuarantinedAt.IsZero() && !r.QuarantinedAt.After(at)
-	if !at.After(r.ClearedAt) || !(r.ClearedAt.IsZero() || ended || quarantined) {
+	if !at.After(r.ClearedAt) || !(r.ClearedAt.IsZero() || hasTerminations || quarantined) {
 		return false
 	}
 	r.ClearedAt = at
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -74,13 +74,13 @@
 
 // RecordTermination records that a VM's incarnation terminated while it ran the request. onlySuspect
 // is true when the VM ran no other suspect.
-func (t *Table) RecordTermination(now time.Time, f Fingerprint, life Incarnation, onlySuspect bool) Verdict {
+func (t *Table) RecordTermination(now time.Time, f Fingerprint, incarnation Incarnation, onlySuspect bool) Verdict {
 	t.mu.Lock()
 	t.sweep(now)
 	r := t.record(f)
 	r.observedHere = true
 	wasFree := r.QuarantinedAt.IsZero()
-	changed := r.add(Termination{life, now})
+	changed := r.add(Termination{incarnation, now})
 	if onlySuspect && r.QuarantinedAt.IsZero() && len(r.Terminations) >= terminationsToQuarantine {
 		r.QuarantinedAt = now
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,11 +17,11 @@
 // under it since it was last answered.
 func TestVerdicts(t *testing.T) {
 	type step struct {
-		at          float64
-		life        Incarnation // 0 for a complete response
-		onlySuspect bool
-		ends        int
-		quarantined bool
+		at           float64
+		incarnation  Incarnation // 0 for a complete response
+		onlySuspect  bool
+		terminations int
+		quarantined  bool
 	}
 	for name, steps := range map[string][]step{
 		"three terminations as the only suspect": {{1, 1, true, 1, false}, {2, 2, true, 2, false}, {3, 3, true, 3, true}},
@@ -35,12 +35,12 @@
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			for i, s := range steps {
-				if s.life == 0 {
+				if s.incarnation == 0 {
 					table.RecordSuccess(at(s.at), 9)
 				} else {
-					table.RecordTermination(at(s.at), 9, s.life, s.onlySuspect)
+					table.RecordTermination(at(s.at), 9, s.incarnation, s.onlySuspect)
 				}
-				if v := table.Verdict(at(s.at), 9); v.Terminations != s.ends || (v.Quarantined > 0) != s.quarantined {
+				if v := table.Verdict(at(s.at), 9); v.Terminations != s.terminations || (v.Quarantined > 0) != s.quarantined {
 					t.Errorf("step %d: %+v, expected %+v", i, v, s)
 				}
 			}
@@ -54,9 +54,9 @@
 	a, b := NewTable(), NewTable()
 	var notified []Fingerprint
 	a.OnQuarantine(func(f Fingerprint) { notified = append(notified, f) })
-	for life := range Incarnation(2) {
-		a.RecordTermination(at(1), 9, life, true)
-		b.RecordTermination(at(1), 9, life+2, true)
+	for incarnation := range Incarnation(2) {
+		a.RecordTermination(at(1), 9, incarnation, true)
+		b.RecordTermination(at(1), 9, incarnation+2, true)
 	}
 	a.Merge(at(2), b.Confirmed(at(2)))
 	if v := a.Verdict(at(2), 9); v.Quarantined == 0 || len(notified) != 1 {
@@ -68,8 +68,8 @@
 // quarantined again.
 func TestQuarantineExpires(t *testing.T) {
 	table := NewTable()
-	for life := range Incarnation(3) {
-		table.RecordTermination(at(float64(life)), 9, life+1, true)
+	for incarnation := range Incarnation(3) {
+		table.RecordTermination(at(float64(incarnation)), 9, incarnation+1, true)
 	}
 	if v := table.Verdict(at(3590), 9); v.Quarantined <= 0 {
 		t.Errorf("released early: %+v", v)
@@ -99,8 +99,8 @@
 // the table beyond its bounds, and those in quarantine are dropped last.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
-	for life := range Incarnation(3) {
-		table.RecordTermination(at(0), 1, life+1, true)
+	for incarnation := range Incarnation(3) {
+		table.RecordTermination(at(0), 1, incarnation+1, true)
 	}
 	for i := range 4 * maxRecords {
 		table.RecordTermination(at(float64(i)/1000), Fingerprint(i+2), 1, true)
@@ -166,8 +166,8 @@
 // time of receipt.
 func TestRecordsOnTheWire(t *testing.T) {
 	r := Record{Fingerprint: 1 << 63, ClearedAt: at(1), QuarantinedAt: at(9), Confirmed: true}
-	for life := range Incarnation(3) {
-		r.add(Termination{life + 1, at(float64(life) + 2)})
+	for incarnation := range Incarnation(3) {
+		r.add(Termination{incarnation + 1, at(float64(incarnation) + 2)})
 	}
 	got := fromWire(at(100), toWire(at(10), r))
 	if got.contentHash() != r.contentHash() || !got.ClearedAt.Equal(at(91)) || !got.QuarantinedAt.Equal(at(99)) || !got.Terminations[0].At.Equal(at(92)) {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -315,7 +315,7 @@
 mutant "the store is asked every second" internal/quarantine/archive.go \
   's/watchTimeout = 10 \* time\.Second/watchTimeout = time.Second/' ./internal/quarantine TestArchiveMakesFewCalls
 mutant "each answer that is told is news" internal/quarantine/record.go \
-  's/ended := len\(r\.Terminations\) > 0 \&\& !r\.Terminations\[0\]\.At\.After\(at\)/ended := len(r.Terminations) == 0/' ./internal/quarantine TestMergesConverge
+  's/hasTerminations := len\(r\.Terminations\) > 0 \&\& !r\.Terminations\[0\]\.At\.After\(at\)/hasTerminations := len(r.Terminations) == 0/' ./internal/quarantine TestMergesConverge
 mutant "a hanging watch is waited for" internal/quarantine/archive.go \
   's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestRefreshCancelsHangingWatch
 mutant "a suspension does not count" internal/clock/clock.go \
