--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -66,7 +66,7 @@
 }
 
 // List implements fleet.Source.
-func (l *platformClient) List(context.Context) (fleet.Watched, error) {
+func (l *platformClient) List(context.Context) (fleet.WatchResult, error) {
 	requestedAt := time.Now()
 	l.calls.Add(1)
 	l.mu.Lock()
@@ -78,11 +78,11 @@
 	for _, vm := range l.vms {
 		out = append(out, fleet.Change{VM: vm})
 	}
-	return fleet.Watched{Changes: out, Revision: l.revision, ProvenAt: requestedAt}, nil
+	return fleet.WatchResult{Changes: out, Revision: l.revision, VerifiedAt: requestedAt}, nil
 }
 
 // Watch implements fleet.Source; it never waits long.
-func (l *platformClient) Watch(_ context.Context, revision uint64, _ time.Duration) (fleet.Watched, error) {
+func (l *platformClient) Watch(_ context.Context, revision uint64, _ time.Duration) (fleet.WatchResult, error) {
 	l.calls.Add(1)
 	requestedAt := time.Now()
 	time.Sleep(5 * time.Millisecond)
@@ -91,7 +91,7 @@
 	if l.down.Load() {
 		return fleet.WatchResult{}, platform.ErrUnavailable
 	}
-	return fleet.Watched{Changes: append([]fleet.Change(nil), l.changes[revision:]...), Revision: l.revision, ProvenAt: requestedAt}, nil
+	return fleet.WatchResult{Changes: append([]fleet.Change(nil), l.changes[revision:]...), Revision: l.revision, VerifiedAt: requestedAt}, nil
 }
 
 // catalogSource makes a platformClient a catalog.Source.
@@ -252,7 +252,7 @@
 	if calls := follower.platform.calls.Load() - before; calls != 0 {
 		t.Errorf("the follower made %d calls itself", calls)
 	}
-	if follower.directory.Snapshot().Silent("v") != 0 {
+	if follower.directory.Snapshot().UnresponsiveFor("v") != 0 {
 		t.Error("a follower, which sees no heartbeats, reports a VM as silent")
 	}
 }
@@ -378,9 +378,9 @@
 	wait time.Duration
 }
 
-func (w *watchRecorder) Watch(_ context.Context, _ uint64, wait time.Duration) (fleet.Watched, error) {
+func (w *watchRecorder) Watch(_ context.Context, _ uint64, wait time.Duration) (fleet.WatchResult, error) {
 	w.wait = wait
-	return fleet.Watched{}, nil
+	return fleet.WatchResult{}, nil
 }
 
 // TestLeaderVerificationStaysRecent: VMs that start together also send their heartbeats together. A
--- a/internal/feed/firstread.go
+++ b/internal/feed/firstread.go
@@ -193,7 +193,7 @@
 }
 
 // listFrom reads the list of upstream VMs from another node.
-func (l *Leader) listFrom(ctx context.Context, source cluster.Record, wait time.Duration) (fleet.Watched, error) {
+func (l *Leader) listFrom(ctx context.Context, source cluster.Record, wait time.Duration) (fleet.WatchResult, error) {
 	requestedAt := clock.Now()
 	resp, err := l.client(source).FollowFleet(ctx, connect.NewRequest(&marbleroadv1.FollowFleetRequest{
 		WaitMs: uint32(wait.Milliseconds())}))
@@ -202,7 +202,7 @@
 	case err != nil:
 		return fleet.WatchResult{}, err
 	case resp.Msg.GetCompacted():
-		return fleet.Watched{}, errSourceEmpty
+		return fleet.WatchResult{}, errSourceEmpty
 	}
 	return watched(resp.Msg, requestedAt.Add(milliseconds(resp.Msg.GetProvenAfterMs()))), nil
 }
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -57,11 +57,11 @@
 }
 
 // List implements fleet.Source.
-func (n *slowLink) List(context.Context) (fleet.Watched, error) {
+func (n *slowLink) List(context.Context) (fleet.WatchResult, error) {
 	n.lists.Add(1)
 	requestedAt := time.Now()
 	if err := n.transfer(); err != nil {
-		return fleet.Watched{}, err
+		return fleet.WatchResult{}, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,17 +69,17 @@
 	for _, vm := range n.vms {
 		out = append(out, fleet.Change{VM: vm})
 	}
-	return fleet.Watched{Changes: out, Revision: n.revision, ProvenAt: requestedAt}, nil
+	return fleet.WatchResult{Changes: out, Revision: n.revision, VerifiedAt: requestedAt}, nil
 }
 
 // Watch implements fleet.Source; nothing changes.
-func (n *slowLink) Watch(ctx context.Context, revision uint64, _ time.Duration) (fleet.Watched, error) {
+func (n *slowLink) Watch(ctx context.Context, revision uint64, _ time.Duration) (fleet.WatchResult, error) {
 	requestedAt := time.Now()
 	select {
 	case <-ctx.Done():
 	case <-time.After(50 * time.Millisecond):
 	}
-	return fleet.Watched{Revision: revision, ProvenAt: requestedAt}, nil
+	return fleet.WatchResult{Revision: revision, VerifiedAt: requestedAt}, nil
 }
 
 // slowLinkCatalog is the configuration of a slowLink.
@@ -176,7 +176,7 @@
 	s.remove("left")
 	s.put(fleet.VM{ID: "new"})
 	waitFor(t, "its verification to be old", func() bool {
-		return source.directory.Snapshot().ProvenAt.Add(maxUnrefreshedAge + 100*time.Millisecond).Before(time.Now())
+		return source.directory.Snapshot().VerifiedAt.Add(maxUnrefreshedAge + 100*time.Millisecond).Before(time.Now())
 	})
 	mux := http.NewServeMux()
 	mux.Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: source.directory, Cache: source.cache}}))
@@ -207,8 +207,8 @@
 			if err != nil || !slices.Equal(ids, want) {
 				t.Errorf("lists %v, want %v; error %v", ids, want, err)
 			}
-			if recent := time.Since(listed.ProvenAt) < time.Second; recent == down {
-				t.Errorf("verified %v ago", time.Since(listed.ProvenAt))
+			if recent := time.Since(listed.VerifiedAt) < time.Second; recent == down {
+				t.Errorf("verified %v ago", time.Since(listed.VerifiedAt))
 			}
 		})
 	}
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -43,9 +43,9 @@
 var _ fleet.Source = (*Fleet)(nil)
 
 // List implements fleet.Source. With many nodes, most of them read the list from others.
-func (f *Fleet) List(ctx context.Context) (fleet.Watched, error) {
-	listed, err := firstRead[fleet.Watched]{object: "list", leader: f.leader, fromPeer: f.leader.listFrom, fromPlatform: f.source.List}.read(ctx)
-	if err != nil || clock.Since(listed.ProvenAt) <= maxUnrefreshedAge {
+func (f *Fleet) List(ctx context.Context) (fleet.WatchResult, error) {
+	listed, err := firstRead[fleet.WatchResult]{object: "list", leader: f.leader, fromPeer: f.leader.listFrom, fromPlatform: f.source.List}.read(ctx)
+	if err != nil || clock.Since(listed.VerifiedAt) <= maxUnrefreshedAge {
 		return listed, err
 	}
 	return f.refresh(ctx, listed)
@@ -53,7 +53,7 @@
 
 // refresh adds later changes to another node's list. That node may be disconnected from the platform;
 // if this one is too, it uses the list as it is.
-func (f *Fleet) refresh(ctx context.Context, listed fleet.Watched) (fleet.Watched, error) {
+func (f *Fleet) refresh(ctx context.Context, listed fleet.WatchResult) (fleet.WatchResult, error) {
 	since, err := f.source.Watch(ctx, listed.Revision, 0)
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
@@ -105,14 +105,14 @@
 	case err != nil:
 		return f.watch(ctx, revision, wait)
 	case response.GetCompacted():
-		return fleet.Watched{}, platform.ErrCompacted
+		return fleet.WatchResult{}, platform.ErrCompacted
 	}
 	return watched(response, verifiedAt), nil
 }
 
 // watched decodes another node's response.
-func watched(response *marbleroadv1.FollowFleetResponse, verifiedAt time.Time) fleet.Watched {
-	out := fleet.Watched{Revision: response.GetRevision(), ProvenAt: verifiedAt, Relayed: true}
+func watched(response *marbleroadv1.FollowFleetResponse, verifiedAt time.Time) fleet.WatchResult {
+	out := fleet.WatchResult{Revision: response.GetRevision(), VerifiedAt: verifiedAt, Relayed: true}
 	for _, c := range response.GetChanges() {
 		out.Changes = append(out.Changes, decodeChange(c))
 	}
@@ -120,7 +120,7 @@
 }
 
 // watch waits for changes at the platform itself, unless this node leaves that to the leaders.
-func (f *Fleet) watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.Watched, error) {
+func (f *Fleet) watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.WatchResult, error) {
 	if err := f.calls.allowed(clock.Now()); err != nil {
 		return fleet.WatchResult{}, err
 	}
@@ -139,7 +139,7 @@
 func decodeChange(c *marbleroadv1.FleetChange) fleet.Change {
 	out := fleet.Change{VM: decodeVM(c.GetVm()), Removed: c.GetRemoved()}
 	if out.VM.State > fleet.Broken {
-		out = fleet.Change{VM: fleet.VM{ID: out.VM.ID, Revision: out.VM.Revision}, Fault: errUnknownState}
+		out = fleet.Change{VM: fleet.VM{ID: out.VM.ID, Revision: out.VM.Revision}, Err: errUnknownState}
 	}
 	return out
 }
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &marbleroadv1.FollowFleetResponse{Revision: w.Revision, ProvenAfterMs: verifiedAfterMS(arrived, w.ProvenAt)}
+	out := &marbleroadv1.FollowFleetResponse{Revision: w.Revision, ProvenAfterMs: verifiedAfterMS(arrived, w.VerifiedAt)}
 	for _, c := range w.Changes {
 		out.Changes = append(out.Changes, &marbleroadv1.FleetChange{Vm: encodeVM(c.VM), Removed: c.Removed})
 	}
@@ -44,7 +44,7 @@
 
 // awaitChanges waits for changes after the revision. A follower at revision 0 knows nothing yet and
 // gets the full list.
-func (s *Server) awaitChanges(ctx context.Context, revision uint64, limit time.Duration) (fleet.Watched, error) {
+func (s *Server) awaitChanges(ctx context.Context, revision uint64, limit time.Duration) (fleet.WatchResult, error) {
 	if revision == 0 {
 		return s.Directory.AwaitList(ctx, limit)
 	}
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -207,7 +207,7 @@
 
 // takeOut takes a VM that is about to end out of use, and has the other nodes know.
 func (s *Server) takeOut(life backpressure.Incarnation, request string) {
-	s.parts.Directory.Leaving(life.VM, life.Born)
+	s.parts.Directory.MarkLeaving(life.VM, life.Born)
 	s.log.Emit(event.UpstreamLeaving).Str("vm", life.VM).Int64("born", life.Born).Str("request", request).Bool("told", request == "").Send()
 	s.parts.Nudge()
 }
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -66,7 +66,7 @@
 mutant "crashing requests end" internal/gateway/suspects.go 's/case j\.c\.judged\.Quarantined > 0:/case false:/; s/one\.cancel\(errQuarantined\)/_ = one/'
 mutant "limits of upstreams" internal/backpressure/table.go 's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/'
 mutant "rests of upstreams" internal/backpressure/rest.go 's/if now\.Before\(b\.until\) \{/if false {/'
-mutant "upstreams that say they leave" 'internal/gateway/condition.go internal/fleet/directory.go' 's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//; s/\td\.leavers\.mark\(vms\)\n//'
+mutant "upstreams that say they leave" 'internal/gateway/condition.go internal/fleet/directory.go' 's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//; s/\td\.leaving\.mark\(vms\)\n//'
 wait
 for i in $(seq "$number"); do cat "$work/result-$i"; done
 ! grep -qhE '^(SURVIVED|NOT)' "$work"/result-*
