--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -16,7 +16,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func reportLimit(limit float64) Signals { return Signals{Limited: true, Limit: limit} }
+func limitSignals(limit float64) Signals { return Signals{Limited: true, Limit: limit} }
 
 // countSent returns how many requests a node sends within a period if it always has a request to send.
 func countSent(t *Table, from, to float64, s func() Sharing) int {
@@ -34,7 +34,7 @@
 func TestLimitBoundsRequestRate(t *testing.T) {
 	for _, limit := range []float64{0, 0.4, 1.7, 30} {
 		table := NewTable()
-		table.Observe(at(0), at(0), incarnation, reportLimit(limit))
+		table.Observe(at(0), at(0), incarnation, limitSignals(limit))
 		for from := 0.0; from < 40; from += 4 {
 			if got, maxSent := countSent(table, from, from+4, onlyNode), 6*limit+5; float64(got) > maxSent {
 				t.Errorf("%d requests in 4 s at a limit of %v", got, limit)
@@ -47,7 +47,7 @@
 // request sent before the limit was reported must not clear it.
 func TestEarlierResponseDoesNotClearLimit(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(2), at(1), incarnation, reportLimit(1))
+	table.Observe(at(2), at(1), incarnation, limitSignals(1))
 	if change := table.Observe(at(3), at(1.5), incarnation, Signals{}); change != Unchanged {
 		t.Errorf("a response to an earlier request changed the limit: %d", change)
 	}
@@ -61,7 +61,7 @@
 
 func TestLimitEndsWithIncarnation(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, reportLimit(0))
+	table.Observe(at(0), at(0), incarnation, limitSignals(0))
 	next := Incarnation{VM: "vm", Born: 8}
 	if _, limited := table.Limit(next); limited {
 		t.Error("the next incarnation has the limit of the previous one")
@@ -76,7 +76,7 @@
 // reachable again.
 func TestLimitIsKeptWhileEntryLapses(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, reportLimit(1))
+	table.Observe(at(0), at(0), incarnation, limitSignals(1))
 	unlisted := func(string) (Incarnation, bool) { return Incarnation{}, false }
 	table.Sweep(at(1), unlisted)
 	table.Sweep(at(30), unlisted)
@@ -113,17 +113,18 @@
 	}
 }
 
-// TestNewHolderWaits: the previous holder may not have learned of the new one yet.
+// TestNewHolderWaits: a node that becomes a holder, also for a second time, sends nothing at first,
+// since the previous holder may not have learned of the new one yet.
 func TestNewHolderWaits(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, reportLimit(4))
+	table.Observe(at(0), at(0), incarnation, limitSignals(4))
 	if got := countSent(table, 0, 1, onlyNode); got != 0 {
 		t.Errorf("%d requests in the first second", got)
 	}
 	other := func() Sharing { return Sharing{Self: "n", Nodes: []string{"m"}} }
 	countSent(table, 1, 10, other)
 	if got := countSent(table, 10, 11, onlyNode); got != 0 {
-		t.Errorf("%d requests in the first second after another node", got)
+		t.Errorf("%d requests in the first second after another node was the holder", got)
 	}
 }
 
@@ -131,7 +132,7 @@
 // of a limit.
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, reportLimit(2))
+	table.Observe(at(0), at(0), incarnation, limitSignals(2))
 	sent := make(map[float64]int)
 	for now := 0.0; now < 30; now += 0.01 {
 		for _, reserve := range []float64{0.3, 0} {
@@ -149,7 +150,7 @@
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 2 * maxVMs {
-		table.Observe(at(float64(i)), at(float64(i)), Incarnation{VM: fmt.Sprint(i)}, reportLimit(1))
+		table.Observe(at(float64(i)), at(float64(i)), Incarnation{VM: fmt.Sprint(i)}, limitSignals(1))
 	}
 	if len(table.vms) != maxVMs {
 		t.Errorf("%d VMs in the table", len(table.vms))
@@ -165,14 +166,14 @@
 	}
 }
 
-func backoffOf(seconds float64) Signals {
+func backoffSignals(seconds float64) Signals {
 	return Signals{Refused: true, Backoff: time.Duration(seconds * float64(time.Second))}
 }
 
 func TestBackoffIsKept(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, backoffOf(3))
-	table.Observe(at(0.1), at(0), incarnation, backoffOf(1))
+	table.Observe(at(0), at(0), incarnation, backoffSignals(3))
+	table.Observe(at(0.1), at(0), incarnation, backoffSignals(1))
 	table.Observe(at(0.2), at(0), incarnation, Signals{})
 	if got := countSent(table, 0.2, 3, onlyNode); got != 0 {
 		t.Errorf("%d requests during the backoff", got)
@@ -182,7 +183,7 @@
 // TestSingleProbeAfterBackoff: without probing, all requests that waited would be sent at once.
 func TestSingleProbeAfterBackoff(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, backoffOf(3))
+	table.Observe(at(0), at(0), incarnation, backoffSignals(3))
 	if got := countSent(table, 3, 3.9, onlyNode); got != 1 {
 		t.Errorf("%d requests before the first response", got)
 	}
@@ -200,7 +201,7 @@
 // requests until its incarnation ends.
 func TestBackoffIsBounded(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, backoffOf(1e9))
+	table.Observe(at(0), at(0), incarnation, backoffSignals(1e9))
 	if throttle := table.Check(at(3700), incarnation, 0, onlyNode); throttle.Throttled {
 		t.Errorf("still throttled for %v after an hour", throttle.Wait)
 	}
@@ -210,7 +211,7 @@
 // be idle.
 func TestBackoffIsNotShared(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), incarnation, backoffOf(3))
+	table.Observe(at(0), at(0), incarnation, backoffSignals(3))
 	if records := table.Records(64); len(records) > 0 {
 		t.Errorf("the backoff is sent to other nodes: %v", records)
 	}
@@ -220,7 +221,7 @@
 // incarnation.
 func TestRecordOfPreviousIncarnationIsIgnored(t *testing.T) {
 	table := NewTable()
-	table.Observe(at(0), at(0), Incarnation{VM: "vm", Born: 8}, reportLimit(1))
+	table.Observe(at(0), at(0), Incarnation{VM: "vm", Born: 8}, limitSignals(1))
 	if change, leaving := table.Merge(at(1), Record{Incarnation: incarnation, Leaving: true, Limited: true, Limit: 9, At: at(1)}, true); change != Unchanged || leaving {
 		t.Errorf("the record changed %d, leaving %v", change, leaving)
 	}
@@ -234,7 +235,7 @@
 func TestRecordOfRemovedVMExpiresAtAllNodes(t *testing.T) {
 	unlisted := func(string) (Incarnation, bool) { return Incarnation{}, false }
 	tables := []*Table{NewTable(), NewTable()}
-	tables[0].Observe(at(0), at(0), incarnation, reportLimit(1))
+	tables[0].Observe(at(0), at(0), incarnation, limitSignals(1))
 	tables[0].MarkLeaving(at(0), incarnation)
 	tables[1].Merge(at(1), tables[0].Records(64)[0], true)
 	for now := 2.0; now < 300; now += 0.5 {
--- a/internal/backpressure/bench_test.go
+++ b/internal/backpressure/bench_test.go
@@ -9,7 +9,7 @@
 func limitedTable(vms int) *Table {
 	table := NewTable()
 	for i := range vms {
-		table.Observe(at(0), at(0), Incarnation{VM: fmt.Sprint(i)}, reportLimit(2))
+		table.Observe(at(0), at(0), Incarnation{VM: fmt.Sprint(i)}, limitSignals(2))
 	}
 	return table
 }
--- a/internal/backpressure/sharing.go
+++ b/internal/backpressure/sharing.go
@@ -28,8 +28,9 @@
 	// remoteFraction is the fraction of a limit that a node of another failure domain uses. Holders
 	// behind a network partition may use the limit at the same time.
 	remoteFraction = 0.25
-	// combinedBurstSeconds and combinedBurstRequests bound what all holders together may send at once:
-	// combinedBurstRequests requests, plus the requests of combinedBurstSeconds seconds at the limit.
+	// combinedBurstSeconds and combinedBurstRequests bound what all holders but the first may together
+	// send at once, and thereby the number of holders: combinedBurstRequests requests, plus the
+	// requests of combinedBurstSeconds seconds at the limit.
 	combinedBurstSeconds  = 1
 	combinedBurstRequests = 1.5
 	// minRate is the lowest rate of requests per second. Without any requests no node learns that the
@@ -51,9 +52,10 @@
 	return max(limit*fraction, minRate) / float64(len(holders))
 }
 
-// holders returns the nodes that use the limit. They are many, so that enough callers reach one of
-// them, but no more than may each send a request at the same moment. They are chosen by rendezvous
-// hashing, so that a node that joins or leaves changes the holders of few VMs only.
+// holders returns the nodes that use the limit. The more there are, the more callers reach one of them.
+// Their number is bounded by the combined burst, since all of them may send a request at the same
+// moment. They are chosen by rendezvous hashing, so that a node that joins or leaves changes the
+// holders of few VMs only.
 func (s Sharing) holders(vm string, limit float64) []string {
 	count := 1
 	if !s.Remote {
--- a/internal/backpressure/table.go
+++ b/internal/backpressure/table.go
@@ -53,10 +53,11 @@
 }
 
 const (
-	// maxVMs bounds a table, which takes some 150 bytes per VM.
+	// maxVMs bounds a table, which takes some 150 bytes per VM. A full table drops the VM with the
+	// oldest report on a limit.
 	maxVMs = 4096
-	// clearedRetention is how long a table remembers that a VM reports no limit any more. It is longer
-	// than older records travel between nodes.
+	// clearedRetention is how long a table remembers that a VM reports no limit any more. Nodes stop
+	// sending each other older records of the limit before that.
 	clearedRetention = 30 * time.Second
 	// unlistedRetention is how long a table remembers a VM that is not listed. An entry may lapse
 	// while the platform is unreachable.
@@ -274,6 +275,7 @@
 	return c.limit.tokens + c.limit.localRate*within.Seconds(), true
 }
 
+// record returns the part of the condition that nodes send each other.
 func (c *condition) record() Record {
 	return Record{Incarnation: c.incarnation, Leaving: !c.leavingAt.IsZero(), Limited: c.limit.active, Limit: c.limit.rate, At: c.limit.reportedAt}
 }
@@ -366,8 +368,8 @@
 	return out
 }
 
-// Sweep forgets incarnations that have ended. listed returns the incarnation that the platform lists
-// under a VM's ID.
+// Sweep drops incarnations that have terminated, and those of which nothing relevant is known any
+// more. listed returns the incarnation that the platform lists under a VM's ID.
 func (t *Table) Sweep(now time.Time, listed func(vm string) (Incarnation, bool)) {
 	for id, c := range t.vms {
 		incarnation, ok := listed(id)
