--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -28,10 +28,11 @@
 	// minRetryPause and maxRetryPause are the first and the longest pause after a failed call.
 	minRetryPause = 150 * time.Millisecond
 	maxRetryPause = time.Second
-	// writeDelay is how long a node leaves it to the node that observed a change to write it; a jitter
-	// of up to the same length is added.
+	// writeDelay is how long a node waits for the node that observed a change to write it, before it
+	// writes the change itself; a jitter of up to the same length is added.
 	writeDelay = 1500 * time.Millisecond
-	// readCheckInterval is how often a node that does not read the store checks whether it must.
+	// readCheckInterval is the time between two checks by which a node that follows others, and so does
+	// not read the store, notices that it must read it itself.
 	readCheckInterval = time.Second
 	// maxWriteAttempts bounds the attempts of one write, so that many concurrent writers back off.
 	maxWriteAttempts = 5
@@ -156,7 +157,7 @@
 	return records, nil
 }
 
-// logReadFailure logs the first failure in a row.
+// logReadFailure logs a failed read, unless the previous read failed too.
 func (a *Archive) logReadFailure(ctx context.Context, err error) {
 	if a.readFailed || ctx.Err() != nil {
 		return
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -219,7 +219,8 @@
 }
 
 // TestRefreshCancelsHangingWatch: a partition left a watch hanging. When the platform was reachable
-// again, the node kept waiting, and received a request that others had put in quarantine.
+// again, the node kept waiting for that watch. It did not learn that others had put a request in
+// quarantine, and then received that request.
 func TestRefreshCancelsHangingWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMemoryStore()
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// maxMessageRecords bounds the records of one message, some 40 bytes each. A crash of a full head
-	// makes some dozens of records. What does not fit is sent with the next exchange, 0.3 s later.
+	// maxMessageRecords bounds the records of one message, some 40 bytes each. A crash of a head whose
+	// slots are all in use adds some dozens of records. What does not fit is sent with the next
+	// exchange, 0.3 s later.
 	maxMessageRecords = 256
 	// fullSyncInterval is the minimum time between two messages to a node that hold all confirmed
 	// records. Digests differ for some exchanges while updates are in transit.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// maxRecords bounds a table, which takes some 280 bytes per record. A crash of a full head adds
-	// some dozens of records. Beyond the bound, the records that expire first are dropped first.
+	// maxRecords bounds a table, which takes some 280 bytes per record. A crash of a head whose
+	// slots are all in use adds some dozens of records. Beyond the bound, the records that expire first
+	// are dropped first.
 	maxRecords = 4096
 	// maxConfirmed bounds the confirmed records, which all nodes keep and the store holds. A record
 	// takes some 150 bytes in the store.
@@ -218,19 +219,21 @@
 	return out
 }
 
+// notifyQuarantined calls the functions registered by OnQuarantine. The caller must not hold mu.
 func (t *Table) notifyQuarantined(f Fingerprint) {
 	for _, each := range t.onQuarantine {
 		each(f)
 	}
 }
 
+// notifyConfirmed calls the functions registered by OnConfirmed. The caller must not hold mu.
 func (t *Table) notifyConfirmed() {
 	for _, each := range t.onConfirmed {
 		each()
 	}
 }
 
-// record returns a request's record, a new one if there is none.
+// record returns a request's record, and adds an empty one if there is none. The caller must hold mu.
 func (t *Table) record(f Fingerprint) *Record {
 	r := t.records[f]
 	if r == nil {
