--- a/internal/feed/catalog.go
+++ b/internal/feed/catalog.go
@@ -22,9 +22,9 @@
 // Catalog reads newer configurations from the leader, else from the platform. It implements
 // catalog.Source.
 type Catalog struct {
-	source catalog.Source
-	leader *Leader
-	calls  platformCalls
+	source   catalog.Source
+	selector *Leader
+	calls    platformCalls
 	// version returns the version in force at this node.
 	version func() uint64
 	// decode parses the operators' document.
@@ -32,15 +32,15 @@
 }
 
 // NewCatalog returns a source that reads from the leader, and falls back to the platform's source.
-func NewCatalog(source catalog.Source, leader *Leader, version func() uint64, decode func([]byte) (*catalog.Catalog, error)) *Catalog {
-	return &Catalog{source: source, leader: leader, calls: platformCalls{leader: leader}, version: version, decode: decode}
+func NewCatalog(source catalog.Source, selector *Leader, version func() uint64, decode func([]byte) (*catalog.Catalog, error)) *Catalog {
+	return &Catalog{source: source, selector: selector, calls: platformCalls{selector: selector}, version: version, decode: decode}
 }
 
 var _ catalog.Source = (*Catalog)(nil)
 
 // Current implements catalog.Source. With many nodes, most of them read the configuration from others.
 func (c *Catalog) Current(ctx context.Context) (catalog.Watched, error) {
-	w, err := firstRead[catalog.Watched]{object: "configuration", leader: c.leader, fromPeer: c.currentFrom, fromPlatform: c.current}.read(ctx)
+	w, err := firstRead[catalog.Watched]{object: "configuration", selector: c.selector, fromPeer: c.currentFrom, fromPlatform: c.current}.read(ctx)
 	if err == nil && clock.Since(w.ProvenAt) > maxUnrefreshedAge {
 		w, err = c.refresh(ctx, w)
 	}
@@ -57,7 +57,7 @@
 	case errors.Is(err, platform.ErrCompacted):
 		return c.current(ctx)
 	case err != nil:
-		c.leader.log.Emit(event.TakenUnproven).Str("of", "configuration").Dur("age_ms", clock.Since(w.ProvenAt)).Err(err).Send()
+		c.selector.log.Emit(event.TakenUnproven).Str("of", "configuration").Dur("age_ms", clock.Since(w.ProvenAt)).Err(err).Send()
 		return w, nil
 	}
 	if since.Catalog == nil {
@@ -78,7 +78,7 @@
 // currentFrom reads the configuration from another node.
 func (c *Catalog) currentFrom(ctx context.Context, source cluster.Record, wait time.Duration) (catalog.Watched, error) {
 	requestedAt := clock.Now()
-	resp, err := c.leader.client(source).FollowCatalog(ctx, connect.NewRequest(&marbleroadv1.FollowCatalogRequest{
+	resp, err := c.selector.client(source).FollowCatalog(ctx, connect.NewRequest(&marbleroadv1.FollowCatalogRequest{
 		WaitMs: uint32(wait.Milliseconds())}))
 	if err != nil {
 		return catalog.Watched{}, err
@@ -96,13 +96,13 @@
 
 // Changed implements catalog.Source.
 func (c *Catalog) Changed(ctx context.Context, revision uint64, wait time.Duration) (catalog.Watched, error) {
-	leader, ok := c.leader.pick(clock.Now())
+	leader, ok := c.selector.pick(clock.Now())
 	if !ok {
 		return c.watch(ctx, revision, wait)
 	}
 	known := c.version()
-	next, verifiedAt, err := follow(ctx, c.leader, leader, catalogQuery, func(ctx context.Context) (*marbleroadv1.FollowCatalogResponse, time.Duration, error) {
-		resp, err := c.leader.client(leader).FollowCatalog(ctx, connect.NewRequest(&marbleroadv1.FollowCatalogRequest{
+	next, verifiedAt, err := follow(ctx, c.selector, leader, catalogQuery, func(ctx context.Context) (*marbleroadv1.FollowCatalogResponse, time.Duration, error) {
+		resp, err := c.selector.client(leader).FollowCatalog(ctx, connect.NewRequest(&marbleroadv1.FollowCatalogRequest{
 			Version: known, WaitMs: uint32(min(wait, catalogQuery.wait).Milliseconds())}))
 		if err != nil {
 			return nil, 0, err
@@ -115,7 +115,7 @@
 		if out.Catalog, err = c.unpack(next.GetDocument()); err == nil {
 			return out, nil
 		}
-		c.leader.log.Emit(event.EntryUnreadable).Str("of", "configuration from the leader").Err(err).Send()
+		c.selector.log.Emit(event.EntryUnreadable).Str("of", "configuration from the leader").Err(err).Send()
 	}
 	if err != nil || next.GetVersion() < known {
 		// A leader with an older version verifies nothing. The platform is queried for changes at
@@ -134,7 +134,8 @@
 	return c.decode(document)
 }
 
-// watch waits for changes at the platform itself, unless this node leaves that to the leaders.
+// watch waits for changes at the platform itself. It fails at once while this node backs off from the
+// platform after a failed call.
 func (c *Catalog) watch(ctx context.Context, revision uint64, wait time.Duration) (catalog.Watched, error) {
 	if err := c.calls.allowed(clock.Now()); err != nil {
 		return catalog.Watched{}, err
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -125,7 +125,7 @@
 // platformCalls spaces out the calls that a follower makes itself while the platform is unreachable.
 // It is used by one goroutine only.
 type platformCalls struct {
-	leader *Leader
+	selector *Leader
 	// backoffUntil is the time until which only leaders are queried.
 	backoffUntil time.Time
 }
@@ -134,9 +134,10 @@
 // recently.
 var errPlatformBackoff = errors.Mark(errors.New("the leaders are disconnected from the platform, and a call of this node failed recently"), platform.ErrUnavailable)
 
-// allowed returns an error while this node leaves the platform to its leaders.
+// allowed returns errPlatformBackoff while this node, whose own call failed recently, leaves the
+// platform to its leaders.
 func (p *platformCalls) allowed(now time.Time) error {
-	if now.Before(p.backoffUntil) && !p.leader.leads(now) {
+	if now.Before(p.backoffUntil) && !p.selector.leads(now) {
 		return errPlatformBackoff
 	}
 	return nil
@@ -203,8 +204,8 @@
 }
 
 // client returns a client for calls to a node.
-func (l *Leader) client(leader cluster.Record) marbleroadv1connect.ClusterServiceClient {
-	return marbleroadv1connect.NewClusterServiceClient(l.http, l.url(leader.Address), transport.ClientOptions(maxResponseBytes)...)
+func (l *Leader) client(node cluster.Record) marbleroadv1connect.ClusterServiceClient {
+	return marbleroadv1connect.NewClusterServiceClient(l.http, l.url(node.Address), transport.ClientOptions(maxResponseBytes)...)
 }
 
 // maxResponseBytes bounds one response: a list of some thousand VMs.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -253,7 +253,7 @@
 		t.Errorf("the follower made %d calls itself", calls)
 	}
 	if follower.directory.Snapshot().UnresponsiveFor("v") != 0 {
-		t.Error("a follower, which sees no heartbeats, reports a VM as silent")
+		t.Error("a follower, which sees no heartbeats, reports a VM as unresponsive")
 	}
 }
 
@@ -384,8 +384,8 @@
 }
 
 // TestLeaderVerificationStaysRecent: VMs that start together also send their heartbeats together. A
-// leader that waited for them, and then paused, had a verification of up to 2 s. Its followers accept
-// 1.2 s and read for themselves, all at once: 130 of 520 watches of 22 nodes.
+// leader that waited for them, and then paused, had a verification that was up to 2 s old. Its followers
+// accept 1.2 s; they read for themselves, all at once: 130 of 520 watches of 22 nodes.
 //
 //	4026 leader=front-vecses-1 error="its state was last verified 1.83s ago: the leader is unresponsive or disconnected"
 func TestLeaderVerificationStaysRecent(t *testing.T) {
@@ -416,7 +416,7 @@
 	now := time.Now()
 	idle := func() bool { return false }
 	callsOf := func(id string, nodes Nodes) platformCalls {
-		return platformCalls{leader: NewLeader(cluster.Record{ID: id, FailureDomain: "x"}, nodes, idle, testLog(t), nil, nil)}
+		return platformCalls{selector: NewLeader(cluster.Record{ID: id, FailureDomain: "x"}, nodes, idle, testLog(t), nil, nil)}
 	}
 	follower := callsOf("n", liveNodes{"d", "c", "b", "a"})
 	if err := follower.allowed(now); err != nil {
--- a/internal/feed/firstread.go
+++ b/internal/feed/firstread.go
@@ -55,8 +55,8 @@
 // all nodes start at once, the platform's link could not transfer it to each.
 type firstRead[T any] struct {
 	// object names the object in log lines.
-	object string
-	leader *Leader
+	object   string
+	selector *Leader
 	// fromPeer reads the object from another node, which may wait that long until it has it.
 	// fromPlatform reads it from the platform.
 	fromPeer     func(context.Context, cluster.Record, time.Duration) (T, error)
@@ -66,13 +66,13 @@
 // read returns the object from another node, or from the platform when this node is one of its
 // readers.
 func (r firstRead[T]) read(ctx context.Context) (T, error) {
-	r.leader.awaitRecords(ctx)
-	rank, ranked := r.leader.rank()
+	r.selector.awaitRecords(ctx)
+	rank, ranked := r.selector.rank()
 	if !ranked {
 		return r.fromPlatform(ctx)
 	}
 	if rank >= firstReaders {
-		got, err := r.readFromPeers(ctx, newPicker(r.leader.self, r.leader.domain(), rank))
+		got, err := r.readFromPeers(ctx, newPicker(r.selector.self, r.selector.domain(), rank))
 		if !errors.Is(err, errReadLocally) {
 			return got, err
 		}
@@ -82,7 +82,7 @@
 		return got, err
 	}
 	// The platform may refuse this node and serve others.
-	other, otherErr := r.readFromPeers(ctx, newFallbackPicker(r.leader.self, r.leader.domain()))
+	other, otherErr := r.readFromPeers(ctx, newFallbackPicker(r.selector.self, r.selector.domain()))
 	if otherErr == nil {
 		return other, nil
 	}
@@ -160,7 +160,7 @@
 	defer progress.Stop()
 	requestedAt := clock.Now()
 	got, err := r.fromPeer(ctx, source, wait)
-	r.leader.log.Emit(event.SourceAsked).Str("of", r.object).Str("source", source.ID).Dur("took_ms", clock.Since(requestedAt)).Err(err).Send()
+	r.selector.log.Emit(event.SourceAsked).Str("of", r.object).Str("source", source.ID).Dur("took_ms", clock.Since(requestedAt)).Err(err).Send()
 	return got, errors.Wrapf(err, "request from %s", source.ID)
 }
 
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -30,21 +30,21 @@
 // Fleet reads the list of upstream VMs from the leader, else from the platform. It implements
 // fleet.Source.
 type Fleet struct {
-	source fleet.Source
-	leader *Leader
-	calls  platformCalls
+	source   fleet.Source
+	selector *Leader
+	calls    platformCalls
 }
 
 // NewFleet returns a source that reads from the leader, and falls back to the platform's source.
-func NewFleet(source fleet.Source, leader *Leader) *Fleet {
-	return &Fleet{source: source, leader: leader, calls: platformCalls{leader: leader}}
+func NewFleet(source fleet.Source, selector *Leader) *Fleet {
+	return &Fleet{source: source, selector: selector, calls: platformCalls{selector: selector}}
 }
 
 var _ fleet.Source = (*Fleet)(nil)
 
 // List implements fleet.Source. With many nodes, most of them read the list from others.
 func (f *Fleet) List(ctx context.Context) (fleet.WatchResult, error) {
-	listed, err := firstRead[fleet.WatchResult]{object: "list", leader: f.leader, fromPeer: f.leader.listFrom, fromPlatform: f.source.List}.read(ctx)
+	listed, err := firstRead[fleet.WatchResult]{object: "list", selector: f.selector, fromPeer: f.selector.listFrom, fromPlatform: f.source.List}.read(ctx)
 	if err != nil || clock.Since(listed.VerifiedAt) <= maxUnrefreshedAge {
 		return listed, err
 	}
@@ -59,7 +59,7 @@
 	case errors.Is(err, platform.ErrCompacted):
 		return f.source.List(ctx)
 	case err != nil:
-		f.leader.log.Emit(event.TakenUnproven).Str("of", "list").Dur("age_ms", clock.Since(listed.VerifiedAt)).Err(err).Send()
+		f.selector.log.Emit(event.TakenUnproven).Str("of", "list").Dur("age_ms", clock.Since(listed.VerifiedAt)).Err(err).Send()
 		return listed, nil
 	}
 	since.Changes = merge(listed.Changes, since.Changes)
@@ -89,12 +89,12 @@
 
 // Watch implements fleet.Source.
 func (f *Fleet) Watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.WatchResult, error) {
-	leader, ok := f.leader.pick(clock.Now())
+	leader, ok := f.selector.pick(clock.Now())
 	if !ok {
-		return f.watch(ctx, revision, f.leader.watchWait(wait))
+		return f.watch(ctx, revision, f.selector.watchWait(wait))
 	}
-	response, verifiedAt, err := follow(ctx, f.leader, leader, fleetQuery, func(ctx context.Context) (*marbleroadv1.FollowFleetResponse, time.Duration, error) {
-		resp, err := f.leader.client(leader).FollowFleet(ctx, connect.NewRequest(&marbleroadv1.FollowFleetRequest{
+	response, verifiedAt, err := follow(ctx, f.selector, leader, fleetQuery, func(ctx context.Context) (*marbleroadv1.FollowFleetResponse, time.Duration, error) {
+		resp, err := f.selector.client(leader).FollowFleet(ctx, connect.NewRequest(&marbleroadv1.FollowFleetRequest{
 			Revision: revision, WaitMs: uint32(fleetQuery.wait.Milliseconds())}))
 		if err != nil {
 			return nil, 0, err
@@ -119,7 +119,8 @@
 	return out
 }
 
-// watch waits for changes at the platform itself, unless this node leaves that to the leaders.
+// watch waits for changes at the platform itself. It fails at once while this node backs off from the
+// platform after a failed call.
 func (f *Fleet) watch(ctx context.Context, revision uint64, wait time.Duration) (fleet.WatchResult, error) {
 	if err := f.calls.allowed(clock.Now()); err != nil {
 		return fleet.WatchResult{}, err
--- a/internal/feed/picker.go
+++ b/internal/feed/picker.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// firstReaders is how many nodes of a failure domain read large objects from the platform at
-	// first, the preferred ones; maxReaders bounds how many do when these do not succeed.
+	// firstReaders is how many nodes of a failure domain, the preferred ones, read large objects from
+	// the platform at first. More read when these do not succeed, at most maxReaders.
 	firstReaders = 4
 	maxReaders   = 16
 	// readersDoubling is the time after which twice as many nodes read. The first ones may be
@@ -163,8 +163,8 @@
 }
 
 // done reports whether the node stops querying, and why: it is one of the readers by now, or no source
-// responds. A node whose sources respond but do not have the object either leaves the platform to
-// them.
+// responds. If sources respond but do not have the object yet, the node leaves it to them to read the
+// object, and stops with errNoneAvailable.
 func (p *picker) done(elapsed time.Duration) (bool, error) {
 	switch {
 	case !p.fallback && p.rank < readers(elapsed):
--- a/internal/feed/picker_test.go
+++ b/internal/feed/picker_test.go
@@ -33,7 +33,9 @@
 func (r domainNodes) Size() int                        { return len(r) }
 func (r domainNodes) Live(time.Time) []cluster.Peer    { return nil }
 func (r domainNodes) Domain() ([]cluster.Record, bool) { return r, true }
-func (r domainNodes) leader(t *testing.T, i int) *Leader {
+
+// selector returns the leader selector of the domain's node i.
+func (r domainNodes) selector(t *testing.T, i int) *Leader {
 	return NewLeader(r[i], r, func() bool { return false }, testLog(t), http.DefaultClient, nil)
 }
 
@@ -59,8 +61,8 @@
 	var all sync.WaitGroup
 	for i := range c.domain {
 		if !c.unreachable(i) {
-			leader := c.domain.leader(t, i)
-			all.Go(func() { c.start(leader, i) })
+			selector := c.domain.selector(t, i)
+			all.Go(func() { c.start(selector, i) })
 		}
 	}
 	all.Wait()
@@ -68,8 +70,8 @@
 }
 
 // start reads until the node has the object, within a bound.
-func (c *cohort) start(leader *Leader, i int) {
-	read := firstRead[string]{object: "test", leader: leader, fromPeer: c.readFromPeer,
+func (c *cohort) start(selector *Leader, i int) {
+	read := firstRead[string]{object: "test", selector: selector, fromPeer: c.readFromPeer,
 		fromPlatform: func(ctx context.Context) (string, error) { return c.read(ctx, i) }}
 	failing := wait.Backoff{Least: 100 * time.Millisecond, Most: 400 * time.Millisecond}
 	for started := time.Now(); time.Since(started) < testWait; {
@@ -93,6 +95,8 @@
 	return "it", nil
 }
 
+// readFromPeer simulates a request to a node that responds once it holds the object, or when timeout
+// has passed. An unreachable node never responds.
 func (c *cohort) readFromPeer(ctx context.Context, from cluster.Record, timeout time.Duration) (string, error) {
 	if c.unreachable(slices.Index(c.domain, from)) {
 		<-ctx.Done()
@@ -101,10 +105,10 @@
 	httptrace.ContextClientTrace(ctx).GotConn(httptrace.GotConnInfo{})
 	for deadline := time.Now().Add(timeout); ctx.Err() == nil; wait.Sleep(ctx, 10*time.Millisecond) {
 		c.mu.Lock()
-		has := c.holders[from.ID]
+		holdsObject := c.holders[from.ID]
 		c.mu.Unlock()
 		switch {
-		case has:
+		case holdsObject:
 			return "it", nil
 		case !time.Now().Before(deadline):
 			return "", errSourceEmpty
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -42,8 +42,8 @@
 	return connect.NewResponse(out), nil
 }
 
-// awaitChanges waits for changes after the revision. A follower at revision 0 knows nothing yet and
-// gets the full list.
+// awaitChanges waits for changes after the revision. A follower at revision 0 has no list yet and
+// gets the full one.
 func (s *Server) awaitChanges(ctx context.Context, revision uint64, limit time.Duration) (fleet.WatchResult, error) {
 	if revision == 0 {
 		return s.Directory.AwaitList(ctx, limit)
