--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,11 +1,11 @@
-// Package cluster connects the nodes of marbleroad: each finds the others in
-// the platform's store and shares its state with them several times a second.
-// It carries hints only; correctness never rests on it.
+// Package cluster connects the nodes of marbleroad: each node finds the others in the platform's
+// store and shares its state with them several times a second. The exchanged states are advisory;
+// correctness never depends on them.
 //
-// A few nodes all exchange with each other. Many have hubs: each node shares its
-// state with a hub of its failure domain, which sums up what its members tell and
-// exchanges the sums with all other hubs. So a node's exchanges don't grow with the
-// number of nodes, and what it knows of the others is about a second old.
+// In a small cluster every node exchanges with every other one. In a larger one each node shares
+// its state with a hub of its failure domain, which aggregates the states of its members and
+// exchanges the aggregates with all other hubs. A node's exchanges therefore don't grow with the
+// number of nodes, and its view of the others is about a second old.
 package cluster
 
 import (
@@ -33,84 +33,85 @@
 const ServiceName = "cluster"
 
 const (
-	// shareTimeout bounds one exchange; it is well above a round trip between
-	// failure domains (3 ms).
+	// shareTimeout bounds one exchange; it is well above a round trip between failure domains (3
+	// ms).
 	shareTimeout = 600 * time.Millisecond
-	// liveIntervals is how many intervals, beside a timeout, a node counts as live
+	// liveIntervals is the number of intervals, plus a timeout, for which a node counts as live
 	// after an exchange with it was sent.
 	liveIntervals = 3
-	// countedIntervals is how many intervals after its last call what a member has under way counts at
-	// its hub: then it has died or calls another one.
-	countedIntervals = 3
-	// fewNodes is up to how many nodes or hubs each exchanges with every other one
-	// at the set interval; with more, the interval grows in proportion, so that a
-	// node's exchanges a second stay the same.
-	fewNodes = 10
-	// silentPause is the time between two tries to reach a silent node.
-	silentPause = time.Second
-	// planInterval is how often a node looks anew with whom it exchanges.
-	planInterval = time.Second
-	// shunLeast is for how long a node is not chosen as a hub after a first failed
-	// exchange, shunMost after many; a jitter of up to twice comes on top. Nodes
-	// that call are chosen again at once.
-	shunLeast = time.Second
-	shunMost  = 4 * time.Second
-	// goneAfter is for how long a node's exchanges must have failed for it to be left
-	// out of the choice of hubs until it is heard again.
-	goneAfter = 5 * time.Second
-	// maxShareBytes bounds one message.
+	// memberLoadIntervals is the number of intervals after a member's last call for which its hub
+	// counts the member's in-flight requests. After that the member has died or calls another hub.
+	memberLoadIntervals = 3
+	// baseIntervalNodes is the largest number of nodes or hubs that exchange with each other at the
+	// configured interval. With more, the interval grows in proportion, so that a node's number of
+	// exchanges per second stays the same.
+	baseIntervalNodes = 10
+	// failurePause is the minimum pause after a failed exchange with a node.
+	failurePause = time.Second
+	// partnersInterval is the time between two updates of the set of nodes to exchange with.
+	partnersInterval = time.Second
+	// minExclusion is how long a node is not chosen as a hub after its first failed exchange,
+	// maxExclusion after many. A random extra of up to the same time is added. Nodes that call this
+	// one can be chosen again at once.
+	minExclusion = time.Second
+	maxExclusion = 4 * time.Second
+	// unreachableAfter is how long exchanges with a node must have failed before it is left out of
+	// the choice of hubs until it is seen again.
+	unreachableAfter = 5 * time.Second
+	// maxShareBytes bounds the size of one message.
 	maxShareBytes = 1 << 20
 )
 
-// Config holds what the cluster needs to know.
+// Config holds the settings of the cluster.
 type Config struct {
 	Self Record
-	// Listen is where other nodes reach this one; Self.Address when empty.
+	// Listen is the address on which this node accepts other nodes' calls; Self.Address when empty.
 	Listen string
 	// Interval is the time between two exchanges with each node.
 	Interval time.Duration
 }
 
-// Feed answers nodes that follow what this one reads from the platform.
+// Feed serves the nodes that follow what this one reads from the platform.
 type Feed interface {
 	FollowFleet(context.Context, *connect.Request[marbleroadv1.FollowFleetRequest]) (*connect.Response[marbleroadv1.FollowFleetResponse], error)
 	FollowCatalog(context.Context, *connect.Request[marbleroadv1.FollowCatalogRequest]) (*connect.Response[marbleroadv1.FollowCatalogResponse], error)
 }
 
-// StateSource tells what this node shares. Each call returns a message of its own.
+// StateSource returns the state that this node shares. Each call returns a new message.
 type StateSource func() *marbleroadv1.NodeState
 
-// PeerFunc takes a state that arrived and when its node was last heard. A hub's may
-// be the sum of many nodes' states.
+// PeerFunc handles a received state; heardAt is the time from which it dates. A hub's state may be
+// the aggregate of many nodes' states.
 type PeerFunc func(state *marbleroadv1.NodeState, heardAt time.Time)
 
-// Quarantine is what else two nodes tell each other with each exchange.
+// Quarantine supplies and processes the quarantine updates that each exchange also carries.
 type Quarantine interface {
-	// Ask is told to a node with a call, relay says whether this node passes on what others told;
-	// Asked takes the answer to a call that was sent then.
+	// Ask returns the updates to send with a call to a peer; relay reports whether this node passes
+	// on updates that it received from others. Asked processes the response to a call that was sent
+	// at the time asked.
 	Ask(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews
 	Asked(asked time.Time, peer string, news *marbleroadv1.QuarantineNews)
-	// Answer takes what a node told with its call and returns the answer; member says that this
-	// node does not call it.
+	// Answer processes the updates that came with a peer's call and returns those for the response;
+	// member reports that this node does not call the peer.
 	Answer(now time.Time, peer string, member bool, news *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews
 }
 
 // Link carries exchanges to other nodes.
 type Link interface {
-	// Share tells a node this one's state and returns its answer.
+	// Share sends this node's state to another node and returns its response.
 	Share(ctx context.Context, to Record, r *marbleroadv1.ShareStateRequest) (*marbleroadv1.ShareStateResponse, error)
 }
 
-// Peer is what is known of another node.
+// Peer is another node and its last received state.
 type Peer struct {
 	Record
 	State *marbleroadv1.NodeState
-	// HeardAt is when the exchange that brought the state was sent, less the
-	// state's age then.
+	// HeardAt is the time from which the state dates: when the exchange that delivered it was sent,
+	// minus the age that the state had then.
 	HeardAt time.Time
 }
 
-// Cluster is the service.
+// Cluster is the service that exchanges states with the other nodes.
 type Cluster struct {
 	config Config
 	log    *event.Logger
@@ -120,25 +121,25 @@
 	state  StateSource
 	onPeer []PeerFunc
 	feed   Feed
-	// quarantine is nil when nothing else is exchanged.
+	// quarantine is nil if exchanges carry no quarantine updates.
 	quarantine Quarantine
 
-	// recordsAt is when the nodes' records were first read; nil before.
+	// recordsAt is when the nodes' records were first read; nil before that.
 	recordsAt atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
 	known map[string]*peer
-	// told is the most nodes that another one has told to know.
-	told int
-	// members are the states that this node sums up as a hub, by node.
-	members map[string]heard
-	// sums are the newest sums of other hubs, by hub.
-	sums map[string]heard
-	// sharing holds what ends the exchanges under way, by node.
-	sharing map[string]*sharing
-	// sharings are those worked out lately, by failure domain.
-	sharings map[string]knownSharing
-	// topology and hub are of the newest plan.
+	// maxKnownNodes is the largest number of known nodes that another node has reported.
+	maxKnownNodes int
+	// members holds the states that this node aggregates as a hub, by node.
+	members map[string]receivedState
+	// aggregates holds the newest aggregates of other hubs, by hub.
+	aggregates map[string]receivedState
+	// exchangers holds the running exchange loops, by node.
+	exchangers map[string]*exchanger
+	// sharingCache holds recently computed results of Sharing, by failure domain.
+	sharingCache map[string]cachedSharing
+	// topology and hub are the results of the last updatePartners.
 	topology topology
 	hub      bool
 
@@ -148,24 +149,24 @@
 	done   sync.WaitGroup
 }
 
-// peer is one other node; its fields are guarded by the cluster's mutex.
+// peer is the state kept for one other node; its fields are guarded by the cluster's mutex.
 type peer struct {
 	Peer
 	lost    bool
-	failing wait.Backoff
-	// shunnedUntil is until when the node is not chosen as a hub.
-	shunnedUntil time.Time
-	// failingSince is when the first of its failed exchanges in a row began.
+	backoff wait.Backoff
+	// excludedUntil is the time until which the node is not chosen as a hub.
+	excludedUntil time.Time
+	// failingSince is the time of the first of the current run of failed exchanges.
 	failingSince time.Time
 }
 
-// sharing is the loop that exchanges with one node.
-type sharing struct {
-	nudge chan struct{}
-	end   context.CancelFunc
+// exchanger controls the loop that exchanges with one node.
+type exchanger struct {
+	trigger chan struct{}
+	cancel  context.CancelFunc
 }
 
-// New returns a cluster of this node alone; it grows from the store's records.
+// New returns a cluster that consists of this node only; it grows as the store's records are read.
 func New(c Config, log *event.Logger, store platform.ObjectStore, peers *transport.Peers, state StateSource) *Cluster {
 	out := newCluster(c, log, store, newRPCLink(peers), state)
 	out.peers = peers
@@ -174,28 +175,28 @@
 
 func newCluster(c Config, log *event.Logger, store platform.ObjectStore, link Link, state StateSource) *Cluster {
 	return &Cluster{
-		config:   c,
-		log:      log,
-		store:    store,
-		link:     link,
-		state:    state,
-		known:    make(map[string]*peer),
-		members:  make(map[string]heard),
-		sums:     make(map[string]heard),
-		sharing:  make(map[string]*sharing),
-		sharings: make(map[string]knownSharing),
-		topology: topology{self: c.Self},
+		config:       c,
+		log:          log,
+		store:        store,
+		link:         link,
+		state:        state,
+		known:        make(map[string]*peer),
+		members:      make(map[string]receivedState),
+		aggregates:   make(map[string]receivedState),
+		exchangers:   make(map[string]*exchanger),
+		sharingCache: make(map[string]cachedSharing),
+		topology:     topology{self: c.Self},
 	}
 }
 
-// OnPeer registers a function that gets each state that arrives. It must be
-// called before Start.
+// OnPeer registers a function that is called with each received state. It must be called before
+// Start.
 func (c *Cluster) OnPeer(f PeerFunc) { c.onPeer = append(c.onPeer, f) }
 
-// ServeFeed has the cluster answer followers. It must be called before Start.
+// ServeFeed makes the cluster serve followers from f. It must be called before Start.
 func (c *Cluster) ServeFeed(f Feed) { c.feed = f }
 
-// Exchange has each exchange carry what the quarantine tells. It must be called before Start.
+// Exchange makes each exchange carry the updates of the quarantine. It must be called before Start.
 func (c *Cluster) Exchange(q Quarantine) { c.quarantine = q }
 
 // Name implements kernel.Service.
@@ -210,63 +211,64 @@
 		return err
 	}
 	c.server = server
-	c.begin()
+	c.startLoops()
 	return nil
 }
 
-// begin starts the loops.
-func (c *Cluster) begin() {
+// startLoops starts the background loops.
+func (c *Cluster) startLoops() {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.done.Add(2)
 	go c.registerLoop()
-	go c.planLoop()
+	go c.partnersLoop()
 }
 
 // Stop implements kernel.Service.
 func (c *Cluster) Stop(context.Context) error {
-	c.end()
+	c.stopLoops()
 	return errors.Wrap(c.server.Close(), "close cluster listener")
 }
 
-// end stops the loops.
-func (c *Cluster) end() {
+// stopLoops stops the background loops and waits for them.
+func (c *Cluster) stopLoops() {
 	c.cancel()
 	c.done.Wait()
 }
 
-// LiveFor is how long a node counts as live after it was heard.
+// LiveFor returns how long a node counts as live after it was last seen.
 func (c *Cluster) LiveFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.liveFor()
+	return c.livenessTimeout()
 }
 
-// liveFor is called with mu held. With hubs, a state comes over two of them.
-func (c *Cluster) liveFor() time.Duration {
+// livenessTimeout implements LiveFor. With hubs, a state passes through two of them. It is called
+// with mu held.
+func (c *Cluster) livenessTimeout() time.Duration {
 	if c.topology.flat() {
 		return liveIntervals*c.meshInterval() + shareTimeout
 	}
 	return liveIntervals*(c.meshInterval()+c.memberInterval()) + shareTimeout
 }
 
-// meshInterval is the time between two exchanges with each of those that all
-// exchange with each other: all nodes, or the hubs. It is called with mu held.
+// meshInterval returns the time between two exchanges with each node of the full mesh, which
+// consists of all nodes or, with hubs, of the hubs. It is called with mu held.
 func (c *Cluster) meshInterval() time.Duration {
 	n := len(c.known) + 1
 	if !c.topology.flat() {
 		n = hubsPerDomain * len(c.topology.failureDomains)
 	}
-	return c.config.Interval * time.Duration(max(n, fewNodes)) / fewNodes
+	return c.config.Interval * time.Duration(max(n, baseIntervalNodes)) / baseIntervalNodes
 }
 
-// memberInterval is the time between two exchanges of a member with its hub. It is
-// called with mu held.
+// memberInterval returns the time between two exchanges of a member with its hub. It is called with
+// mu held.
 func (c *Cluster) memberInterval() time.Duration {
-	const most = hubsPerDomain * membersPerHub
-	return c.config.Interval * time.Duration(max(c.topology.local, most)) / most
+	const baseMembers = hubsPerDomain * maxMembersPerHub
+	return c.config.Interval * time.Duration(max(c.topology.localNodes, baseMembers)) / baseMembers
 }
 
-// interval is the time between two exchanges with a node.
+// interval returns the time between two exchanges with a node.
 func (c *Cluster) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -276,15 +278,15 @@
 	return c.memberInterval()
 }
 
-// Live returns the nodes heard of lately, by ID. With hubs these are the hubs, those
-// who manage groups, and the first of each failure domain.
+// Live returns the nodes that count as live, ordered by ID. With hubs these are the hubs, the nodes
+// that manage groups, and the first nodes of each failure domain.
 func (c *Cluster) Live(now time.Time) []Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	liveFor := c.liveFor()
+	livenessTimeout := c.livenessTimeout()
 	var out []Peer
 	for _, p := range c.known {
-		if p.State != nil && now.Sub(p.HeardAt) <= liveFor {
+		if p.State != nil && now.Sub(p.HeardAt) <= livenessTimeout {
 			out = append(out, p.Peer)
 		}
 	}
@@ -292,18 +294,18 @@
 	return out
 }
 
-// Domain are the nodes of this failure domain, the fittest first and this one included, and
-// whether the nodes' records were read.
+// Domain returns the nodes of this failure domain, this one included and the preferred hubs first,
+// and whether the nodes' records have been read.
 func (c *Cluster) Domain() ([]Record, bool) {
 	if c.recordsAt.Load() == nil {
 		return nil, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.topology.domain(c.config.Self.FailureDomain), true
+	return c.topology.domainNodes(c.config.Self.FailureDomain), true
 }
 
-// KnownSince is when the nodes' records were first read; false before.
+// KnownSince returns when the nodes' records were first read, and false before that.
 func (c *Cluster) KnownSince() (time.Time, bool) {
 	if at := c.recordsAt.Load(); at != nil {
 		return *at, true
@@ -311,18 +313,19 @@
 	return time.Time{}, false
 }
 
-// Size is the number of nodes that are or may be in use, this one included.
+// Size returns the number of nodes that are or may be in use, this one included.
 func (c *Cluster) Size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.size()
 }
 
-// size is called with mu held.
-func (c *Cluster) size() int { return max(len(c.known)+1, c.told) }
+// size implements Size. It is called with mu held.
+func (c *Cluster) size() int { return max(len(c.known)+1, c.maxKnownNodes) }
 
-// Counted is by how many nodes a limit over all of them is shared; 0 until the others'
-// records were read, when a node that takes itself for the only one would use the whole of it.
+// Counted returns the number of nodes that share a cluster-wide limit. It is 0 until the other
+// nodes' records have been read: until then a node that took itself for the only one would use the
+// full limit.
 func (c *Cluster) Counted() int {
 	if c.recordsAt.Load() == nil {
 		return 0
@@ -330,13 +333,13 @@
 	return c.Size()
 }
 
-// Nudge shares this node's state now with those that it exchanges with.
+// Nudge triggers an exchange with each of this node's partners now.
 func (c *Cluster) Nudge() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.sharing {
+	for _, s := range c.exchangers {
 		select {
-		case s.nudge <- struct{}{}:
+		case s.trigger <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -14,25 +14,25 @@
 	"github.com/marbleroad/marbleroad/internal/transport"
 )
 
-// testWait bounds every wait of these tests.
+// testWait bounds each wait of these tests.
 const testWait = 20 * time.Second
 
-// records is a store that holds two other nodes' records and can be made to fail.
-type records struct {
+// listStore holds the records of two other nodes and can be made unavailable.
+type listStore struct {
 	platform.ObjectStore
-	away  atomic.Bool
-	asked atomic.Int32
+	unavailable atomic.Bool
+	lists       atomic.Int32
 }
 
 // Put implements platform.ObjectStore.
-func (r *records) Put(_ context.Context, key string, value []byte, _ uint64) (platform.Object, error) {
+func (r *listStore) Put(_ context.Context, key string, value []byte, _ uint64) (platform.Object, error) {
 	return platform.Object{Key: key, Value: value}, nil
 }
 
 // List implements platform.ObjectStore.
-func (r *records) List(context.Context, string) ([]platform.Object, uint64, error) {
-	r.asked.Add(1)
-	if r.away.Load() {
+func (r *listStore) List(context.Context, string) ([]platform.Object, uint64, error) {
+	r.lists.Add(1)
+	if r.unavailable.Load() {
 		return nil, 0, platform.ErrUnavailable
 	}
 	return []platform.Object{
@@ -41,74 +41,70 @@
 	}, 1, nil
 }
 
-// TestNodesAreNotCountedBeforeTheyAreKnown: each node's part of the fixed part of the budget for
-// repeats is divided by the number of nodes. A node that had just started, and could not read the
-// others' records yet, took itself for the only one and had the whole of it: after a restart of
-// nine nodes nine times what is allowed. The rule held by luck: the records are read some
-// milliseconds after the configuration, without which nothing is served.
-//
-//	3006 the records of the nodes could not be read error="store answered 503"
-//	5007 budget={… nodes:9}   (a second later; no line was seen with nodes:1)
+// TestNodesAreNotCountedBeforeTheyAreKnown: the fixed part of the retry budget is divided by the
+// number of nodes. A node that had just started and could not read the other nodes' records (event
+// 3006) counted itself as the only node and used the full fixed part, so a restart of nine nodes
+// allowed nine times the limit. The records are usually read some milliseconds after the
+// configuration, without which nothing is served, which hid the fault.
 func TestNodesAreNotCountedBeforeTheyAreKnown(t *testing.T) {
-	store := &records{}
-	store.away.Store(true)
-	c := startAlone(t, store)
-	until(t, "the records to be asked for", func() bool { return store.asked.Load() > 0 })
+	store := &listStore{}
+	store.unavailable.Store(true)
+	c := startNode(t, store)
+	waitUntil(t, "the records to be listed", func() bool { return store.lists.Load() > 0 })
 	if n := c.Counted(); n != 0 {
 		t.Errorf("%d nodes are counted before their records were read", n)
 	}
-	store.away.Store(false)
-	until(t, "all nodes to be counted", func() bool { return c.Counted() == 3 })
+	store.unavailable.Store(false)
+	waitUntil(t, "all nodes to be counted", func() bool { return c.Counted() == 3 })
 }
 
-// TestRegistrationBacksOff: a node that could not register asked the store again every 0.15 to 0.3 s for
-// as long as that refused:
-//
-//	3005 this node's record could not be written; trying again
+// TestRegistrationBacksOff: while the store refused, a node that could not register (event 3005)
+// queried it again every 0.15 to 0.3 s for as long as that lasted.
 func TestRegistrationBacksOff(t *testing.T) {
 	pauses := registerBackoff()
 	first := pauses.Next()
 	for range 10 {
 		pauses.Next()
 	}
-	if last := pauses.Next(); first >= 2*registerPause || last < mostRegisterPause {
+	if last := pauses.Next(); first >= 2*minRegisterPause || last < maxRegisterPause {
 		t.Errorf("the first pause is %v, the last %v", first, last)
 	}
 }
 
-// refusing is a store that takes no writes.
-type refusing struct {
+// readOnlyStore is a store that refuses all writes.
+type readOnlyStore struct {
 	platform.ObjectStore
 	list   []platform.Object
 	writes atomic.Int32
 }
 
 // Put implements platform.ObjectStore.
-func (r *refusing) Put(context.Context, string, []byte, uint64) (platform.Object, error) {
+func (r *readOnlyStore) Put(context.Context, string, []byte, uint64) (platform.Object, error) {
 	r.writes.Add(1)
 	return platform.Object{}, platform.ErrUnknown
 }
 
 // List implements platform.ObjectStore.
-func (r *refusing) List(context.Context, string) ([]platform.Object, uint64, error) {
+func (r *readOnlyStore) List(context.Context, string) ([]platform.Object, uint64, error) {
 	return r.list, 1, nil
 }
 
-// TestRestartedNodeKnowsTheOthersWithoutAWrite: a node wrote its record anew before it read the others.
+// TestRestartedNodeKnowsTheOthersWithoutAWrite: a restarted node wrote its record again before it
+// read the others, so it found no other node while the platform refused writes.
 func TestRestartedNodeKnowsTheOthersWithoutAWrite(t *testing.T) {
-	store := &refusing{list: []platform.Object{
+	store := &readOnlyStore{list: []platform.Object{
 		{Key: nodesPrefix + "a", Value: []byte(`{"id":"a","address":"127.0.0.1:0"}`)},
 		{Key: nodesPrefix + "b", Value: []byte(`{"id":"b","address":"127.0.0.1:1"}`)},
 	}}
-	c := startAlone(t, store)
-	until(t, "the other node to be known", func() bool { return c.Counted() == 2 })
+	c := startNode(t, store)
+	waitUntil(t, "the other node to be known", func() bool { return c.Counted() == 2 })
 	if n := store.writes.Load(); n != 0 {
-		t.Errorf("%d writes of a record that stands", n)
+		t.Errorf("%d writes of an unchanged record", n)
 	}
 }
 
-// startAlone starts the node a on a store.
-func startAlone(t *testing.T, store platform.ObjectStore) *Cluster {
+// startNode starts node a on a store.
+func startNode(t *testing.T, store platform.ObjectStore) *Cluster {
 	t.Helper()
 	log, err := event.New(io.Discard, "error", "n", "test")
 	if err != nil {
@@ -127,12 +123,12 @@
 	return c
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testWait); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// nodesPrefix is where nodes register in the store.
+	// nodesPrefix is the key prefix of the nodes' records in the store.
 	nodesPrefix = "marbleroad-nodes/"
-	// registerPause is the pause after the first failed registration, mostRegisterPause the
-	// longest one, both up to doubled by jitter: a node that isn't registered is found by those
-	// that it finds itself.
-	registerPause     = 150 * time.Millisecond
-	mostRegisterPause = 1200 * time.Millisecond
-	// mostUnknownPause is the longest pause, up to doubled by jitter, of a node that has not read the
-	// others' records.
-	mostUnknownPause = 300 * time.Millisecond
-	// firstNodesInterval is the time from the first reading of the nodes'
-	// records to the second, which finds nodes that started at the same time.
-	firstNodesInterval = time.Second
-	// nodesInterval is the time between later readings. New nodes call others
-	// themselves, so a slow pace is enough.
-	nodesInterval = time.Minute
-	// nodesRetry is the pause after a failed reading.
-	nodesRetry = 500 * time.Millisecond
+	// minRegisterPause is the pause after the first failed registration, maxRegisterPause the
+	// longest one, both up to doubled by jitter. A node that isn't registered is still found by the
+	// nodes that it finds itself.
+	minRegisterPause = 150 * time.Millisecond
+	maxRegisterPause = 1200 * time.Millisecond
+	// maxFirstReadPause is the longest pause, up to doubled by jitter, of a node that has not read
+	// the others' records.
+	maxFirstReadPause = 300 * time.Millisecond
+	// secondReadDelay is the time from the first reading of the nodes' records to the second, which
+	// finds nodes that started at the same time.
+	secondReadDelay = time.Second
+	// readInterval is the time between later readings. New nodes call the others themselves, so a
+	// slow pace is enough.
+	readInterval = time.Minute
+	// readRetryPause is the pause after a failed reading.
+	readRetryPause = 500 * time.Millisecond
 )
 
 // Record is a node's entry in the store.
@@ -39,14 +39,13 @@
 	ID            string `json:"id"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
-	// Processor is the part of a processor core that the node may use; 0 while
-	// it does not say.
+	// Processor is the part of a processor core that the node may use; 0 if unknown.
 	Processor float64 `json:"processor,omitempty"`
 }
 
-// registerLoop reads the nodes' records, writes this node's own unless it is there, and then reads the
-// others' now and then. A node that starts again finds its record in place: it knows the others after
-// one call, also while the platform refuses writes.
+// registerLoop reads the nodes' records, writes this node's own unless it exists, and then reads
+// the others' periodically. A restarted node finds its record in place, so one call gives it the
+// other nodes, even while the platform refuses writes.
 func (c *Cluster) registerLoop() {
 	defer c.done.Done()
 	backoff := registerBackoff()
@@ -56,66 +55,67 @@
 		registered = registered || found
 		switch {
 		case err != nil:
-			c.unread(err)
+			c.logUnreadRecords(err)
 		case registered:
-			c.know()
+			c.markRecordsRead()
 			c.refreshLoop()
 			return
 		default:
 			if err = c.register(); err == nil {
-				// Nodes that start together register together.
+				// Nodes that start together register together: read the records again.
 				registered = true
 				continue
 			}
 			c.log.Emit(event.RegisterFailed).Err(err).Send()
 		}
-		wait.Sleep(c.ctx, c.registerPause(backoff))
+		wait.Sleep(c.ctx, c.nextRegisterPause(backoff))
 	}
 }
 
-// know notes that the others' records were read.
-func (c *Cluster) know() {
+// markRecordsRead records that the other nodes' records were read.
+func (c *Cluster) markRecordsRead() {
 	read := clock.Now()
 	c.recordsAt.CompareAndSwap(nil, &read)
-	c.plan()
+	c.updatePartners()
 }
 
-func (c *Cluster) unread(err error) {
+func (c *Cluster) logUnreadRecords(err error) {
 	if c.ctx.Err() == nil {
 		c.log.Emit(event.NodesUnread).Err(err).Send()
 	}
 }
 
-// registerPause is the pause after a failed try. A node that does not know the others yet has
-// nothing to read from them either, so it sees soon that the platform is back.
-func (c *Cluster) registerPause(backoff *wait.Backoff) time.Duration {
+// nextRegisterPause returns the pause after a failed attempt. A node that has not read the other
+// nodes' records yet has nothing to exchange with them either, so it retries sooner to detect that
+// the platform is available again.
+func (c *Cluster) nextRegisterPause(backoff *wait.Backoff) time.Duration {
 	pause := backoff.Next()
 	if c.recordsAt.Load() == nil {
-		return min(pause, mostUnknownPause+rand.N(mostUnknownPause))
+		return min(pause, maxFirstReadPause+rand.N(maxFirstReadPause))
 	}
 	return pause
 }
 
-// refreshLoop reads the records of nodes that came since.
+// refreshLoop reads the records of nodes that were added since.
 func (c *Cluster) refreshLoop() {
-	pause := firstNodesInterval
+	pause := secondReadDelay
 	for wait.Sleep(c.ctx, pause) {
-		pause = nodesInterval
+		pause = readInterval
 		if _, err := c.readNodes(); err != nil {
-			c.unread(err)
-			pause = nodesRetry
+			c.logUnreadRecords(err)
+			pause = readRetryPause
 		}
 	}
 }
 
-// registerBackoff spaces out the tries to register: while the store refuses, each node
-// asked it anew every 0.15 to 0.3 s, hundreds of nodes at a large site.
+// registerBackoff returns the backoff between attempts to register. Without it each node queried a
+// refusing store every 0.15 to 0.3 s, hundreds of nodes at a large site.
 func registerBackoff() *wait.Backoff {
-	return &wait.Backoff{Least: registerPause, Most: mostRegisterPause}
+	return &wait.Backoff{Least: minRegisterPause, Most: maxRegisterPause}
 }
 
-// register writes this node's record; only its own node writes it, so a lost
-// race is a former life's and is written over.
+// register writes this node's record. No other node writes it, so a conflicting record is from a
+// previous incarnation and is overwritten.
 func (c *Cluster) register() error {
 	value, err := json.Marshal(c.config.Self)
 	if err != nil {
@@ -147,14 +147,14 @@
 			continue
 		}
 		found = found || r == c.config.Self
-		c.add(r)
+		c.addNode(r)
 	}
-	c.plan()
+	c.updatePartners()
 	return found, nil
 }
 
-// add takes a node's record; it reports whether the node is new.
-func (c *Cluster) add(r Record) bool {
+// addNode stores a node's record; it reports whether the node is new.
+func (c *Cluster) addNode(r Record) bool {
 	if r.ID == c.config.Self.ID || r.ID == "" || r.Address == "" {
 		return false
 	}
@@ -167,6 +167,6 @@
 		p.Record = r
 		return false
 	}
-	c.known[r.ID] = &peer{Peer: Peer{Record: r}, failing: wait.Backoff{Least: shunLeast, Most: shunMost}}
+	c.known[r.ID] = &peer{Peer: Peer{Record: r}, backoff: wait.Backoff{Least: minExclusion, Most: maxExclusion}}
 	return true
 }
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -17,25 +17,25 @@
 	"github.com/marbleroad/marbleroad/internal/wait"
 )
 
-// planLoop looks now and then with whom this node exchanges.
-func (c *Cluster) planLoop() {
+// partnersLoop periodically updates the set of nodes that this node exchanges with.
+func (c *Cluster) partnersLoop() {
 	defer c.done.Done()
-	for wait.Sleep(c.ctx, planInterval) {
-		c.plan()
+	for wait.Sleep(c.ctx, partnersInterval) {
+		c.updatePartners()
 	}
 }
 
-// plan chooses the nodes to exchange with, begins with those that are new and ends
-// with those that were.
-func (c *Cluster) plan() {
+// updatePartners chooses the nodes to exchange with, starts exchanging with new ones and stops with
+// those no longer chosen.
+func (c *Cluster) updatePartners() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ctx.Err() != nil {
 		return
 	}
 	now := clock.Now()
-	c.forgetSilent(now)
-	c.topology = c.view(now)
+	c.dropExpired(now)
+	c.topology = c.currentTopology(now)
 	hub := !c.topology.flat() && c.topology.isHub()
 	if hub != c.hub {
 		c.hub = hub
@@ -44,217 +44,219 @@
 	chosen := make(map[string]bool)
 	for _, r := range c.topology.partners() {
 		chosen[r.ID] = true
-		if c.sharing[r.ID] == nil {
-			c.share(c.known[r.ID])
+		if c.exchangers[r.ID] == nil {
+			c.startExchanger(c.known[r.ID])
 		}
 	}
-	for id, s := range c.sharing {
+	for id, s := range c.exchangers {
 		if !chosen[id] {
-			s.end()
-			delete(c.sharing, id)
+			s.cancel()
+			delete(c.exchangers, id)
 		}
 	}
 }
 
-// view is the topology as this node sees it. It is called with mu held.
-func (c *Cluster) view(now time.Time) topology {
-	t := topology{self: c.config.Self, nodes: c.told, shunned: make(map[string]bool), gone: make(map[string]bool), hears: len(c.members) > 0}
+// currentTopology returns the topology from this node's view. It is called with mu held.
+func (c *Cluster) currentTopology(now time.Time) topology {
+	t := topology{self: c.config.Self, maxKnownNodes: c.maxKnownNodes, excluded: make(map[string]bool), unreachable: make(map[string]bool), hasMembers: len(c.members) > 0}
 	for id, p := range c.known {
 		t.others = append(t.others, p.Record)
-		if now.Before(p.shunnedUntil) || p.State.GetStopping() {
-			t.shunned[id] = true
+		if now.Before(p.excludedUntil) || p.State.GetStopping() {
+			t.excluded[id] = true
 		}
-		if !p.failingSince.IsZero() && now.Sub(p.failingSince) > goneAfter && now.Sub(p.HeardAt) > goneAfter {
-			t.gone[id] = true
+		if !p.failingSince.IsZero() && now.Sub(p.failingSince) > unreachableAfter && now.Sub(p.HeardAt) > unreachableAfter {
+			t.unreachable[id] = true
 		}
 	}
-	t.count()
+	t.countNodes()
 	return t
 }
 
-// forgetSilent drops members and sums that have fallen silent. It is called with mu held.
-func (c *Cluster) forgetSilent(now time.Time) {
-	liveFor := c.liveFor()
-	for _, from := range []map[string]heard{c.members, c.sums} {
+// dropExpired drops members and aggregates that have not been updated within the liveness timeout.
+// It is called with mu held.
+func (c *Cluster) dropExpired(now time.Time) {
+	livenessTimeout := c.livenessTimeout()
+	for _, from := range []map[string]receivedState{c.members, c.aggregates} {
 		for id, h := range from {
-			if now.Sub(h.at) > liveFor {
+			if now.Sub(h.asOf) > livenessTimeout {
 				delete(from, id)
 			}
 		}
 	}
 }
 
-// share begins to exchange with a node. It is called with mu held.
-func (c *Cluster) share(p *peer) {
-	ctx, end := context.WithCancel(c.ctx)
-	s := &sharing{nudge: make(chan struct{}, 1), end: end}
-	c.sharing[p.ID] = s
+// startExchanger starts to exchange with a node. It is called with mu held.
+func (c *Cluster) startExchanger(p *peer) {
+	ctx, cancel := context.WithCancel(c.ctx)
+	s := &exchanger{trigger: make(chan struct{}, 1), cancel: cancel}
+	c.exchangers[p.ID] = s
 	c.done.Add(1)
-	go c.shareLoop(ctx, p, s)
+	go c.runExchanger(ctx, p, s)
 }
 
-func (c *Cluster) shareLoop(ctx context.Context, p *peer, s *sharing) {
+func (c *Cluster) runExchanger(ctx context.Context, p *peer, s *exchanger) {
 	defer c.done.Done()
-	defer s.end()
+	defer s.cancel()
 	for ctx.Err() == nil {
 		pause := c.interval()
-		if err := c.shareWith(ctx, p); err != nil {
-			pause = max(pause, silentPause)
-			c.lose(ctx, p, err)
+		if err := c.exchangeWith(ctx, p); err != nil {
+			pause = max(pause, failurePause)
+			c.recordFailure(ctx, p, err)
 		}
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
-		case <-s.nudge:
+		case <-s.trigger:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-func (c *Cluster) shareWith(ctx context.Context, p *peer) error {
+func (c *Cluster) exchangeWith(ctx context.Context, p *peer) error {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	c.mu.Lock()
 	to, flat := p.Record, c.topology.flat()
 	c.mu.Unlock()
-	asked := clock.Now()
-	question := &marbleroadv1.ShareStateRequest{State: c.shared(asked, "", false)}
+	sentAt := clock.Now()
+	request := &marbleroadv1.ShareStateRequest{State: c.outgoingState(sentAt, "", false)}
 	if c.quarantine != nil {
-		question.Quarantine = c.quarantine.Ask(asked, to.ID, !flat)
+		request.Quarantine = c.quarantine.Ask(sentAt, to.ID, !flat)
 	}
-	answer, err := c.link.Share(ctx, to, question)
+	response, err := c.link.Share(ctx, to, request)
 	if err != nil {
 		return errors.Wrapf(err, "share state with %s", to.ID)
 	}
 	if c.quarantine != nil {
-		c.quarantine.Asked(asked, to.ID, answer.GetQuarantine())
+		c.quarantine.Asked(sentAt, to.ID, response.GetQuarantine())
 	}
-	c.reached(p)
-	c.hear(answer.GetState(), asked)
-	for _, other := range answer.GetOthers() {
-		c.hear(other, asked)
+	c.recordSuccess(p)
+	c.receive(response.GetState(), sentAt)
+	for _, other := range response.GetOthers() {
+		c.receive(other, sentAt)
 	}
 	return nil
 }
 
-// reached notes an answered exchange.
-func (c *Cluster) reached(p *peer) {
+// recordSuccess records a successful exchange.
+func (c *Cluster) recordSuccess(p *peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p.works()
+	p.markReachable()
 }
 
-// works has the node count as one that can be reached.
-func (p *peer) works() {
-	p.shunnedUntil, p.failingSince = time.Time{}, time.Time{}
-	p.failing.Succeeded()
+// markReachable clears the record of failed exchanges with the node.
+func (p *peer) markReachable() {
+	p.excludedUntil, p.failingSince = time.Time{}, time.Time{}
+	p.backoff.Succeeded()
 }
 
-// shared is what this node tells another: its own state, as a hub the sum of its
-// members' states, of which it leaves out the one who asks. A member that asks a node which takes
-// all for few is told who leads too: it hears nobody else.
-func (c *Cluster) shared(now time.Time, asker string, toMember bool) *marbleroadv1.NodeState {
-	own := c.state()
+// outgoingState returns the state that this node sends to another one: its own or, on a hub, the
+// aggregate of its members' states without the requester's. A member that calls a node which still
+// uses the flat topology also gets the leading nodes, because it receives states from no other
+// node.
+func (c *Cluster) outgoingState(now time.Time, requester string, toMember bool) *marbleroadv1.NodeState {
+	ownState := c.state()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	own.Processor = c.config.Self.Processor
-	own.KnownNodes = uint32(c.size())
+	ownState.Processor = c.config.Self.Processor
+	ownState.KnownNodes = uint32(c.size())
 	switch {
 	case c.topology.flat():
 		if toMember {
-			own.Leading = leading(c.heardLately(now), own.GetFailureDomain(), asker, now)
+			ownState.Leading = leadingStates(c.leaderCandidates(now), ownState.GetFailureDomain(), requester, now)
 		}
-		return own
+		return ownState
 	case !c.hub:
-		own.Member = true
-		return own
+		ownState.Member = true
+		return ownState
 	}
-	members := make([]heard, 0, len(c.members))
+	members := make([]receivedState, 0, len(c.members))
 	for _, m := range c.members {
-		if now.Sub(m.at) <= countedIntervals*c.memberInterval() {
+		if now.Sub(m.asOf) <= memberLoadIntervals*c.memberInterval() {
 			members = append(members, m)
 		}
 	}
-	for id := range c.sums {
-		own.Hubs = append(own.Hubs, id)
+	for id := range c.aggregates {
+		ownState.Hubs = append(ownState.Hubs, id)
 	}
-	return sum(own, members, c.heardLately(now), asker, now)
+	return aggregate(ownState, members, c.leaderCandidates(now), requester, now)
 }
 
-// heardLately are the live nodes of which others must know whether they lead: this node's members
-// and, while nodes differ in how many they count, those that it still hears themselves. A node that
-// was added took a failure domain's groups for unmanaged in 64 of 150 runs without the latter. It
-// is called with mu held.
-func (c *Cluster) heardLately(now time.Time) []heard {
-	liveFor := c.liveFor()
-	var out []heard
+// leaderCandidates returns the live nodes whose leadership must be passed on: this node's members
+// and, while nodes differ in how many nodes they count, the nodes that it receives states from
+// directly. Without the latter, a node that was added took a failure domain's groups for unmanaged
+// in 64 of 150 runs. It is called with mu held.
+func (c *Cluster) leaderCandidates(now time.Time) []receivedState {
+	livenessTimeout := c.livenessTimeout()
+	var out []receivedState
 	for _, m := range c.members {
 		out = append(out, m)
 	}
 	for id, p := range c.known {
 		_, member := c.members[id]
-		if member || p.State == nil || p.State.GetSummed() > 0 || now.Sub(p.HeardAt) > liveFor {
+		if member || p.State == nil || p.State.GetSummed() > 0 || now.Sub(p.HeardAt) > livenessTimeout {
 			continue
 		}
 		if p.FailureDomain == c.config.Self.FailureDomain || len(p.State.GetDirecting()) > 0 {
-			out = append(out, heard{p.State, p.HeardAt})
+			out = append(out, receivedState{p.State, p.HeardAt})
 		}
 	}
 	return out
 }
 
-// lose takes a failed exchange: another node is chosen as a hub, and one that has been
-// silent for long is lost.
-func (c *Cluster) lose(ctx context.Context, p *peer, err error) {
+// recordFailure records a failed exchange: another node is chosen as a hub, and a node not seen for
+// the liveness timeout counts as lost.
+func (c *Cluster) recordFailure(ctx context.Context, p *peer, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
 	now := clock.Now()
-	p.shunnedUntil = now.Add(p.failing.Next())
+	p.excludedUntil = now.Add(p.backoff.Next())
 	if p.failingSince.IsZero() {
 		p.failingSince = now
 	}
-	many := !c.topology.flat()
-	if !p.lost && p.State != nil && clock.Since(p.HeardAt) > c.liveFor() {
+	hierarchical := !c.topology.flat()
+	if !p.lost && p.State != nil && clock.Since(p.HeardAt) > c.livenessTimeout() {
 		p.lost = true
 		c.log.Emit(event.PeerLost).Str("peer", p.ID).Err(err).Send()
 	}
 	c.mu.Unlock()
-	if many {
-		c.plan()
+	if hierarchical {
+		c.updatePartners()
 	}
 }
 
-// hear takes a state that came with the answer to a question, or with one.
-func (c *Cluster) hear(state *marbleroadv1.NodeState, asked time.Time) {
-	at := asked.Add(-milliseconds(state.GetAgeMs()))
-	c.noteAll(state, at)
+// receive processes a state that came with the response to a call that was sent at sentAt.
+func (c *Cluster) receive(state *marbleroadv1.NodeState, sentAt time.Time) {
+	at := sentAt.Add(-milliseconds(state.GetAgeMs()))
+	c.recordStates(state, at)
 	for _, f := range c.onPeer {
 		f(state, at)
 	}
 }
 
-// noteAll keeps a state and those of the nodes that it names.
-func (c *Cluster) noteAll(state *marbleroadv1.NodeState, at time.Time) {
-	c.add(recordOf(state))
-	c.note(state, at)
-	for _, one := range state.GetLeading() {
-		c.add(recordOf(one))
-		c.note(one, at.Add(-milliseconds(one.GetAgeMs())))
+// recordStates stores a state and the states of the leading nodes that it lists.
+func (c *Cluster) recordStates(state *marbleroadv1.NodeState, at time.Time) {
+	c.addNode(recordOf(state))
+	c.recordState(state, at)
+	for _, leader := range state.GetLeading() {
+		c.addNode(recordOf(leader))
+		c.recordState(leader, at.Add(-milliseconds(leader.GetAgeMs())))
 	}
-	c.tryAgain(state.GetHubs())
+	c.retryHubs(state.GetHubs())
 }
 
-// tryAgain has a hub try others that it takes for lost but that another hub hears: two
-// that were cut off at the same time would else wait for each other.
-func (c *Cluster) tryAgain(hubs []string) {
+// retryHubs makes a hub retry hubs that fail for it but that another hub still receives states
+// from. Otherwise two hubs that were partitioned at the same time would wait for each other.
+func (c *Cluster) retryHubs(hubs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range hubs {
 		if p := c.known[id]; c.hub && p != nil && !p.failingSince.IsZero() {
-			p.works()
+			p.markReachable()
 		}
 	}
 }
@@ -265,11 +267,11 @@
 	return Record{ID: s.GetNode(), Address: s.GetAddress(), FailureDomain: s.GetFailureDomain(), Processor: s.GetProcessor()}
 }
 
-// note keeps what is newer than what was known of a node.
-func (c *Cluster) note(state *marbleroadv1.NodeState, at time.Time) {
+// recordState stores a state if it is newer than the stored one.
+func (c *Cluster) recordState(state *marbleroadv1.NodeState, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = max(c.told, int(state.GetKnownNodes()))
+	c.maxKnownNodes = max(c.maxKnownNodes, int(state.GetKnownNodes()))
 	p := c.known[state.GetNode()]
 	if p == nil || at.Before(p.HeardAt) {
 		return
@@ -277,7 +279,7 @@
 	p.State = state
 	p.HeardAt = at
 	if state.GetSummed() > 0 {
-		c.sums[p.ID] = heard{state, at}
+		c.aggregates[p.ID] = receivedState{state, at}
 	}
 	if p.lost {
 		p.lost = false
@@ -285,28 +287,28 @@
 	}
 }
 
-// answer takes another node's state and returns this one's.
-func (c *Cluster) answer(r *marbleroadv1.ShareStateRequest) *marbleroadv1.ShareStateResponse {
+// respond processes another node's state and returns the response with this node's.
+func (c *Cluster) respond(r *marbleroadv1.ShareStateRequest) *marbleroadv1.ShareStateResponse {
 	clock.Sync()
 	now := clock.Now()
 	state := r.GetState()
-	isNew := c.add(recordOf(state))
+	isNew := c.addNode(recordOf(state))
 	if state.GetSummed() > 0 {
-		c.noteAll(state, now)
+		c.recordStates(state, now)
 	}
-	news, joined := c.called(state, now)
+	urgent, becomesHub := c.recordCaller(state, now)
 	for _, f := range c.onPeer {
 		f(state, now)
 	}
-	if isNew || joined {
-		c.plan()
+	if isNew || becomesHub {
+		c.updatePartners()
 	}
-	if news {
+	if urgent {
 		c.Nudge()
 	}
-	out := &marbleroadv1.ShareStateResponse{State: c.shared(now, state.GetNode(), state.GetMember())}
+	out := &marbleroadv1.ShareStateResponse{State: c.outgoingState(now, state.GetNode(), state.GetMember())}
 	if state.GetMember() {
-		out.Others = c.othersSums(out.State, now)
+		out.Others = c.otherAggregates(out.State, now)
 	}
 	if c.quarantine != nil {
 		out.Quarantine = c.quarantine.Answer(now, state.GetNode(), state.GetMember(), r.GetQuarantine())
@@ -314,65 +316,66 @@
 	return out
 }
 
-// called notes a node that called: as a member it is summed up here, and any other can
-// be reached again. It reports whether the state has news that the other hubs must hear
-// at once, and whether this node becomes a hub by it.
-func (c *Cluster) called(state *marbleroadv1.NodeState, now time.Time) (news, joined bool) {
+// recordCaller records that a node called: as a member it is aggregated here, and any other node is
+// reachable again. It reports whether the state holds an update that the other hubs must receive at
+// once, and whether this node becomes a hub through the call.
+func (c *Cluster) recordCaller(state *marbleroadv1.NodeState, now time.Time) (urgent, becomesHub bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = max(c.told, int(state.GetKnownNodes()))
+	c.maxKnownNodes = max(c.maxKnownNodes, int(state.GetKnownNodes()))
 	p := c.known[state.GetNode()]
 	if p == nil {
 		return false, false
 	}
 	if !state.GetMember() {
 		delete(c.members, p.ID)
-		p.works()
+		p.markReachable()
 		if !c.topology.flat() && state.GetSummed() == 0 {
-			// It does not know yet that there are many nodes, and exchanges with all.
+			// The caller still counts few nodes and exchanges with all.
 			p.State, p.HeardAt = state, now
 		}
 		return false, false
 	}
 	old := c.members[p.ID]
-	c.members[p.ID] = heard{state, now}
+	c.members[p.ID] = receivedState{state, now}
 	p.State, p.HeardAt = state, now
-	return urgent(old.state, state), !c.hub && !c.topology.flat()
+	return isUrgent(old.state, state), !c.hub && !c.topology.flat()
 }
 
-// othersSums are the sums of the other hubs with their ages, for a member that is also told this hub's
-// own. Loads and demand come summed up once more, in the first, with this hub's own, which
-// are taken out there: each group is named once, not by each hub.
-func (c *Cluster) othersSums(own *marbleroadv1.NodeState, now time.Time) []*marbleroadv1.NodeState {
+// otherAggregates returns the aggregates of the other hubs with their ages, for a member that also
+// gets this hub's own. The first one holds the totals of all loads and demand, this hub's included,
+// which are removed from ownState: so each group is listed once, not once per hub.
+func (c *Cluster) otherAggregates(ownState *marbleroadv1.NodeState, now time.Time) []*marbleroadv1.NodeState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	liveFor := c.liveFor()
-	var sums []heard
-	for _, h := range c.sums {
-		if now.Sub(h.at) <= liveFor {
-			sums = append(sums, h)
+	livenessTimeout := c.livenessTimeout()
+	var aggregates []receivedState
+	for _, h := range c.aggregates {
+		if now.Sub(h.asOf) <= livenessTimeout {
+			aggregates = append(aggregates, h)
 		}
 	}
-	if len(sums) == 0 {
+	if len(aggregates) == 0 {
 		return nil
 	}
-	all := sum(&marbleroadv1.NodeState{Node: othersName, FailureDomain: c.config.Self.FailureDomain, Loads: own.GetLoads(), Demand: own.GetDemand()}, sums, nil, "", now)
-	own.Loads, own.Demand = nil, nil
+	all := aggregate(&marbleroadv1.NodeState{Node: othersID, FailureDomain: c.config.Self.FailureDomain, Loads: ownState.GetLoads(), Demand: ownState.GetDemand()}, aggregates, nil, "", now)
+	ownState.Loads, ownState.Demand = nil, nil
 	all.Summed, all.Leading = 0, nil
 	out := []*marbleroadv1.NodeState{all}
-	for _, h := range sums {
+	for _, h := range aggregates {
 		all.Summed += h.state.GetSummed()
-		out = append(out, withAge(h.state, ageMS(now, h.at)))
+		out = append(out, relayedState(h.state, ageMS(now, h.asOf)))
 	}
 	return out
 }
 
-// othersName stands for a node's ID in the sum of the other hubs, whichever hub tells it; it
-// is no node, and without an address it is never taken for one.
-const othersName = "/others"
+// othersID takes the place of a node ID in the total of the other hubs, whichever hub sends it. It
+// is not a node, and without an address it is never added as one.
+const othersID = "/others"
 
-// withAge is a hub's state as it is passed on, without what is summed up apart.
-func withAge(s *marbleroadv1.NodeState, age uint32) *marbleroadv1.NodeState {
+// relayedState returns a hub's state as it is passed on, without the loads and demand, which are in
+// the total.
+func relayedState(s *marbleroadv1.NodeState, age uint32) *marbleroadv1.NodeState {
 	return &marbleroadv1.NodeState{
 		Node:          s.GetNode(),
 		FailureDomain: s.GetFailureDomain(),
@@ -397,16 +400,16 @@
 
 // ShareState implements ClusterService.
 func (h handler) ShareState(_ context.Context, r *connect.Request[marbleroadv1.ShareStateRequest]) (*connect.Response[marbleroadv1.ShareStateResponse], error) {
-	return connect.NewResponse(h.c.answer(r.Msg)), nil
+	return connect.NewResponse(h.c.respond(r.Msg)), nil
 }
 
-// rpcLink carries exchanges over connect.
+// rpcLink carries exchanges over Connect RPC.
 type rpcLink struct {
 	peers *transport.Peers
 	http  *http.Client
 
 	mu sync.Mutex
-	// clients are kept by address, so that none is made for each exchange.
+	// clients caches the clients by address, so that exchanges reuse them.
 	clients map[string]marbleroadv1connect.ClusterServiceClient
 }
 
@@ -416,11 +419,11 @@
 
 // Share implements Link.
 func (l *rpcLink) Share(ctx context.Context, to Record, r *marbleroadv1.ShareStateRequest) (*marbleroadv1.ShareStateResponse, error) {
-	answer, err := l.client(to.Address).ShareState(ctx, connect.NewRequest(r))
+	response, err := l.client(to.Address).ShareState(ctx, connect.NewRequest(r))
 	if err != nil {
 		return nil, err
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 func (l *rpcLink) client(address string) marbleroadv1connect.ClusterServiceClient {
--- a/internal/cluster/sharing.go
+++ b/internal/cluster/sharing.go
@@ -6,10 +6,11 @@
 	"github.com/marbleroad/marbleroad/internal/backpressure"
 )
 
-// Sharing is which nodes use together what upstream VMs of a failure domain take of all nodes: those of
-// the same failure domain, which are cut off together with the VMs or not at all, whether or not they
-// are heard. The records of nodes are the same at all of them, so that nodes which are cut off from each other
-// choose alike. Others only do while nobody of that failure domain is heard.
+// Sharing returns the nodes that share the limits of a failure domain's upstream VMs. These are the
+// nodes of the same failure domain, whether or not they are reachable: they are partitioned from
+// the rest together with the VMs or not at all. All nodes read the same records, so nodes that are
+// partitioned from each other make the same choice. Nodes of other failure domains share the limits
+// only while no node of that failure domain is reachable.
 func (c *Cluster) Sharing(now time.Time, domain string) backpressure.Sharing {
 	out := backpressure.Sharing{Self: c.config.Self.ID}
 	if c.recordsAt.Load() == nil {
@@ -17,42 +18,42 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.sharings[domain]
-	if !ok || now.Sub(known.at) >= sharingFor {
-		known = knownSharing{c.sharers(now, domain), now}
-		c.sharings[domain] = known
+	known, ok := c.sharingCache[domain]
+	if !ok || now.Sub(known.computedAt) >= sharingTTL {
+		known = cachedSharing{c.computeSharing(now, domain), now}
+		c.sharingCache[domain] = known
 	}
 	return known.Sharing
 }
 
-// sharingFor is how long a sharing that was worked out counts: each request that could go to an upstream
-// VM with a limit asks for it.
-const sharingFor = 100 * time.Millisecond
+// sharingTTL is how long a computed sharing is reused: it is queried for each request that could go
+// to an upstream VM with a limit.
+const sharingTTL = 100 * time.Millisecond
 
-// knownSharing is the sharing of one failure domain's VMs, worked out then.
-type knownSharing struct {
+// cachedSharing is the sharing of one failure domain's VMs and when it was computed.
+type cachedSharing struct {
 	backpressure.Sharing
-	at time.Time
+	computedAt time.Time
 }
 
-// sharers works out a sharing. It is called with mu held.
-func (c *Cluster) sharers(now time.Time, domain string) backpressure.Sharing {
+// computeSharing computes the result of Sharing. It is called with mu held.
+func (c *Cluster) computeSharing(now time.Time, domain string) backpressure.Sharing {
 	out := backpressure.Sharing{Self: c.config.Self.ID}
 	others := []string{out.Self}
-	heard := c.config.Self.FailureDomain == domain
-	if heard {
+	domainReachable := c.config.Self.FailureDomain == domain
+	if domainReachable {
 		out.Nodes = append(out.Nodes, out.Self)
 	}
-	liveFor := c.liveFor()
+	livenessTimeout := c.livenessTimeout()
 	for id, p := range c.known {
 		if p.FailureDomain != domain {
 			others = append(others, id)
 			continue
 		}
 		out.Nodes = append(out.Nodes, id)
-		heard = heard || (p.State != nil && now.Sub(p.HeardAt) <= liveFor)
+		domainReachable = domainReachable || (p.State != nil && now.Sub(p.HeardAt) <= livenessTimeout)
 	}
-	if !heard {
+	if !domainReachable {
 		out.Nodes, out.Foreign = others, true
 	}
 	return out
--- a/internal/cluster/sharing_test.go
+++ b/internal/cluster/sharing_test.go
@@ -12,36 +12,37 @@
 	"github.com/marbleroad/marbleroad/internal/backpressure"
 )
 
-// Bounds on what a VM that names a limit gets: in any window so many times the limit, and some requests,
-// from when its limit has been known for long enough.
+// Bounds on the requests that a VM with a limit receives: in any window limitFactor times the limit
+// plus limitExtra requests, once limitGrace has passed.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitExtra  = 5
 	limitGrace  = 3 * time.Second
-	// callersPerNode is how many requests a second come to each node.
+	// callersPerNode is the number of requests a second that come to each node.
 	callersPerNode = 5
 )
 
-// limitedVM is an upstream VM that names a limit to whoever sends to it, and the nodes that do.
+// limitedVM is an upstream VM that reports a limit to the nodes that send to it, and these nodes.
 type limitedVM struct {
 	life  backpressure.Life
 	limit float64
-	fleet *fleetOfNodes
+	fleet *testFleet
 
 	mu     sync.Mutex
 	tables map[string]*backpressure.Table
-	// nodes are those that callers come to.
+	// nodes are the nodes that receive callers' requests.
 	nodes []*testNode
-	// arrivals are from nodes that know the limit, strays from others.
-	arrivals []time.Time
-	strays   int
-	// sharing is the way to divide the limit.
+	// arrivals are the times of requests from nodes that know the limit, uninformed counts those
+	// from other nodes.
+	arrivals   []time.Time
+	uninformed int
+	// sharing returns the nodes that share the limit.
 	sharing func(*testNode) backpressure.Sharing
 }
 
-// follow has a node know what the VM says, and tell others.
-func (v *limitedVM) follow(n *testNode) {
+// attach makes a node record the VM's limit and send it to other nodes.
+func (v *limitedVM) attach(n *testNode) {
 	table := backpressure.NewTable()
 	v.mu.Lock()
 	v.tables[n.config.Self.ID] = table
@@ -66,19 +67,19 @@
 	})
 }
 
-// ask is one request at a node that could go to the VM.
-func (v *limitedVM) ask(n *testNode, chance float64, random *rand.Rand) {
+// request simulates one request at a node that could go to the VM.
+func (v *limitedVM) request(n *testNode, chance float64, random *rand.Rand) {
 	now := time.Now()
 	sharing := v.sharing(n)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	table := v.tables[n.config.Self.ID]
-	_, told := table.Limit(v.life)
+	_, known := table.Limit(v.life)
 	switch {
-	case !told && random.Float64() >= chance:
+	case !known && random.Float64() >= chance:
 		return
-	case !told:
-		v.strays++
+	case !known:
+		v.uninformed++
 	case table.Check(now, v.life, 0, func() backpressure.Sharing { return sharing }).Back:
 		return
 	default:
@@ -90,9 +91,9 @@
 	}
 }
 
-// worst is the most that came within a window that begins after the grace time.
-func (v *limitedVM) worst(since time.Time) int {
-	most := 0
+// maxInWindow returns the largest number of arrivals in a window that starts after the grace time.
+func (v *limitedVM) maxInWindow(since time.Time) int {
+	maxCount := 0
 	for i, at := range v.arrivals {
 		count := 0
 		for _, later := range v.arrivals[i:] {
@@ -101,121 +102,123 @@
 			}
 		}
 		if at.Sub(since) >= limitGrace {
-			most = max(most, count)
+			maxCount = max(maxCount, count)
 		}
 	}
-	return most
+	return maxCount
 }
 
-// serve has callers come to random nodes for a time, so many a second over all of them.
+// serve sends requests to random nodes for a time, at a total rate per second.
 func (v *limitedVM) serve(rate float64, length time.Duration, random *rand.Rand) {
-	const usualPart = 0.05
+	const typicalShare = 0.05
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-		v.ask(v.anyNode(random), usualPart, random)
+		v.request(v.randomNode(random), typicalShare, random)
 	}
 }
 
-func (v *limitedVM) anyNode(random *rand.Rand) *testNode {
+func (v *limitedVM) randomNode(random *rand.Rand) *testNode {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.nodes[random.IntN(len(v.nodes))]
 }
 
-// limitOver plays a VM with a limit before so many nodes; trouble comes to nodes while callers do.
-func limitOver(t *testing.T, count int, limit float64, seed uint64, way func(*testNode) backpressure.Sharing, trouble func(*limitedVM, *rand.Rand)) (worst int, used float64) {
+// runLimited runs a number of nodes before a VM with a limit and disturbs the nodes while requests
+// come. It returns the largest number of arrivals in a window and the used part of the limit.
+func runLimited(t *testing.T, count int, limit float64, seed uint64, sharingOf func(*testNode) backpressure.Sharing, disturb func(*limitedVM, *rand.Rand)) (worst int, used float64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	f := newNodes(t, count)
-	v := &limitedVM{life: backpressure.Life{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: way}
+	v := &limitedVM{life: backpressure.Life{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: sharingOf}
 	for i := range count {
-		v.follow(f.node(fmt.Sprintf("n%03d", i)))
+		v.attach(f.node(fmt.Sprintf("n%03d", i)))
 	}
 	for _, n := range f.nodes {
-		n.begin()
+		n.startLoops()
 	}
-	defer f.end()
+	defer f.stop()
 	time.Sleep(5 * time.Second)
-	began := time.Now()
+	startedAt := time.Now()
 	const length = 24 * time.Second
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		trouble(v, random)
+		disturb(v, random)
 	}()
 	v.serve(float64(callersPerNode*count), length, rand.New(rand.NewPCG(seed, 1)))
 	<-done
-	return v.worst(began), float64(len(v.arrivals)) / length.Seconds() / limit
+	return v.maxInWindow(startedAt), float64(len(v.arrivals)) / length.Seconds() / limit
 }
 
-func calm(*limitedVM, *rand.Rand) {}
+func noDisturbance(*limitedVM, *rand.Rand) {}
 
-// cutNodes cuts nodes off from all others, and not from the VM, for some seconds each.
-func cutNodes(v *limitedVM, random *rand.Rand) {
+// partitionNodes partitions nodes from all others, but not from the VM, for some seconds each.
+func partitionNodes(v *limitedVM, random *rand.Rand) {
 	for range 9 {
 		time.Sleep(2 * time.Second)
 		n := v.fleet.node(fmt.Sprintf("n%03d", random.IntN(len(v.tables))))
-		n.cut.Store(true)
-		time.AfterFunc(time.Duration(1+random.IntN(6))*time.Second, func() { n.cut.Store(false) })
+		n.partitioned.Store(true)
+		time.AfterFunc(time.Duration(1+random.IntN(6))*time.Second, func() { n.partitioned.Store(false) })
 	}
 }
 
-// cutHalf cuts every second node off from the others for ten seconds: those that are cut hear nobody.
-func cutHalf(v *limitedVM, _ *rand.Rand) {
+// partitionHalf partitions every second node from all others for ten seconds.
+func partitionHalf(v *limitedVM, _ *rand.Rand) {
 	time.Sleep(8 * time.Second)
 	for i := range len(v.tables) {
 		n := v.fleet.node(fmt.Sprintf("n%03d", i))
-		n.cut.Store(i%2 == 0)
-		time.AfterFunc(10*time.Second, func() { n.cut.Store(false) })
+		n.partitioned.Store(i%2 == 0)
+		time.AfterFunc(10*time.Second, func() { n.partitioned.Store(false) })
 	}
 }
 
-// restartNodes has nodes forget all that they know and start again.
+// restartNodes makes nodes lose their tables and start again.
 func restartNodes(v *limitedVM, random *rand.Rand) {
 	for range 9 {
 		time.Sleep(2 * time.Second)
 		id := fmt.Sprintf("n%03d", random.IntN(len(v.tables)))
 		n := v.fleet.node(id)
-		n.cut.Store(true)
+		n.partitioned.Store(true)
 		time.Sleep(time.Duration(100+random.IntN(1500)) * time.Millisecond)
 		v.mu.Lock()
 		*v.tables[id] = *backpressure.NewTable()
 		v.mu.Unlock()
-		n.cut.Store(false)
+		n.partitioned.Store(false)
 	}
 }
 
-// delayNews has each node's calls to others take nearly as long as they may.
-func delayNews(v *limitedVM, _ *rand.Rand) {
+// delayExchanges makes each node's calls to others take nearly the full timeout.
+func delayExchanges(v *limitedVM, _ *rand.Rand) {
 	for _, n := range v.nodes {
-		n.late.Store(int64(shareTimeout - shareTimeout/10))
+		n.extraDelay.Store(int64(shareTimeout - shareTimeout/10))
 	}
 }
 
-// addNodes has nodes join, some of the VM's failure domain among them, and cuts some of the others off for good.
+// addNodes adds nodes, some of the VM's failure domain among them, and partitions some of the
+// others for good.
 func addNodes(v *limitedVM, random *rand.Rand) {
 	for i := range 5 {
 		time.Sleep(2 * time.Second)
-		v.anyNode(random).cut.Store(true)
+		v.randomNode(random).partitioned.Store(true)
 		n := v.fleet.add(len(v.fleet.nodes) + i)
-		v.follow(n)
-		n.begin()
+		v.attach(n)
+		n.startLoops()
 	}
 }
 
-// TestLimitHoldsOverAllNodes: 8 and 295 nodes keep to one VM's limit in sum, also while some are cut off
-// from each other and still reach the VM, or start again and know nothing.
+// TestLimitHoldsOverAllNodes: 8 and 295 nodes together keep to one VM's limit, also while some are
+// partitioned from each other and still reach the VM, or restart with empty tables.
 func TestLimitHoldsOverAllNodes(t *testing.T) {
-	troubles := map[string]func(*limitedVM, *rand.Rand){"calm": calm, "cut": cutNodes, "halves": cutHalf, "restarts": restartNodes, "late": delayNews, "joins": addNodes}
+	disturbances := map[string]func(*limitedVM, *rand.Rand){"calm": noDisturbance, "cut": partitionNodes, "halves": partitionHalf, "restarts": restartNodes, "late": delayExchanges, "joins": addNodes}
 	for _, count := range []int{8, 295} {
 		for _, limit := range []float64{1.7, 20} {
-			for name, trouble := range troubles {
-				if count > flatNodes && limit > callersPerNode && name != "cut" {
+			for name, disturb := range disturbances {
+				if count > maxFlatNodes && limit > callersPerNode && name != "cut" {
 					continue
 				}
 				t.Run(fmt.Sprintf("%d/%v/%s", count, limit, name), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						worst, used := limitOver(t, count, limit, 1, byFailureDomain, trouble)
+						worst, used := runLimited(t, count, limit, 1, byFailureDomain, disturb)
 						t.Logf("%d requests in %v at worst, %.2f of the limit used", worst, limitWindow, used)
 						if float64(worst) > limitFactor*limit*limitWindow.Seconds()+limitExtra {
 							t.Errorf("%d requests in %v from nodes that knew a limit of %v a second", worst, limitWindow, limit)
--- a/internal/cluster/sum.go
+++ b/internal/cluster/sum.go
@@ -7,55 +7,55 @@
 	marbleroadv1 "github.com/marbleroad/marbleroad/api/marbleroad/v1"
 )
 
-// leadingNodes is how many of its members a hub names beside those that manage
-// groups: the first of a failure domain are those to whom duties fall.
-const leadingNodes = 3
+// maxLeadingNodes is the number of nodes of its failure domain that a hub lists, besides those that
+// manage groups: roles fall to the first nodes of a failure domain.
+const maxLeadingNodes = 3
 
-// heard is a node's state and when it came.
-type heard struct {
+// receivedState is a node's state and the time from which it dates.
+type receivedState struct {
 	state *marbleroadv1.NodeState
-	at    time.Time
+	asOf  time.Time
 }
 
-// sum is a hub's state with those of its members summed up, all but one's. It names those of the
-// nodes heard lately that lead.
-func sum(own *marbleroadv1.NodeState, members, lately []heard, except string, now time.Time) *marbleroadv1.NodeState {
-	s := summing{
-		out:        own,
+// aggregate adds the members' states, except that of the excluded node, to a hub's own. It lists
+// the leading nodes among the candidates.
+func aggregate(ownState *marbleroadv1.NodeState, members, candidates []receivedState, exclude string, now time.Time) *marbleroadv1.NodeState {
+	s := aggregator{
+		out:        ownState,
 		loads:      make(map[string]*marbleroadv1.GroupLoad),
 		demand:     make(map[demandKey]*marbleroadv1.ModelDemand),
 		suspicions: make(map[string]*marbleroadv1.Suspicion),
 	}
-	for _, l := range own.GetLoads() {
+	for _, l := range ownState.GetLoads() {
 		s.loads[l.GetGroup()] = l
 	}
-	for _, d := range own.GetDemand() {
+	for _, d := range ownState.GetDemand() {
 		s.demand[demandKey{d.GetService(), d.GetModel()}] = d
 	}
-	for _, f := range own.GetSuspicions() {
+	for _, f := range ownState.GetSuspicions() {
 		s.suspicions[f.GetGroup()] = f
 	}
-	own.Summed = 1
+	ownState.Summed = 1
 	for _, m := range members {
-		if m.state.GetNode() != except {
+		if m.state.GetNode() != exclude {
 			s.add(m.state)
 		}
 	}
-	own.Leading = leading(lately, own.GetFailureDomain(), except, now)
-	return own
+	ownState.Leading = leadingStates(candidates, ownState.GetFailureDomain(), exclude, now)
+	return ownState
 }
 
 type demandKey struct{ service, model string }
 
-// summing adds members' states to a hub's.
-type summing struct {
+// aggregator adds members' states to a hub's state.
+type aggregator struct {
 	out        *marbleroadv1.NodeState
 	loads      map[string]*marbleroadv1.GroupLoad
 	demand     map[demandKey]*marbleroadv1.ModelDemand
 	suspicions map[string]*marbleroadv1.Suspicion
 }
 
-func (s summing) add(m *marbleroadv1.NodeState) {
+func (s aggregator) add(m *marbleroadv1.NodeState) {
 	s.out.Summed++
 	s.out.TrafficSeen = s.out.TrafficSeen || m.GetTrafficSeen()
 	for _, l := range m.GetLoads() {
@@ -64,9 +64,9 @@
 			known.Suspects += l.GetSuspects()
 			continue
 		}
-		one := &marbleroadv1.GroupLoad{Group: l.GetGroup(), InFlight: l.GetInFlight(), Suspects: l.GetSuspects()}
-		s.loads[l.GetGroup()] = one
-		s.out.Loads = append(s.out.Loads, one)
+		added := &marbleroadv1.GroupLoad{Group: l.GetGroup(), InFlight: l.GetInFlight(), Suspects: l.GetSuspects()}
+		s.loads[l.GetGroup()] = added
+		s.out.Loads = append(s.out.Loads, added)
 	}
 	for _, d := range m.GetDemand() {
 		key := demandKey{d.GetService(), d.GetModel()}
@@ -75,9 +75,9 @@
 			known.Arrivals += d.GetArrivals()
 			continue
 		}
-		one := &marbleroadv1.ModelDemand{Service: key.service, Model: key.model, Rate: d.GetRate(), Arrivals: d.GetArrivals()}
-		s.demand[key] = one
-		s.out.Demand = append(s.out.Demand, one)
+		added := &marbleroadv1.ModelDemand{Service: key.service, Model: key.model, Rate: d.GetRate(), Arrivals: d.GetArrivals()}
+		s.demand[key] = added
+		s.out.Demand = append(s.out.Demand, added)
 	}
 	for _, f := range m.GetSuspicions() {
 		if s.suspicions[f.GetGroup()] == nil {
@@ -92,18 +92,18 @@
 	}
 }
 
-// leading are the nodes that manage groups or come first in the failure domain, as far as
-// the others need to know of them.
-func leading(members []heard, domain, except string, now time.Time) []*marbleroadv1.NodeState {
-	members = slices.DeleteFunc(slices.Clone(members), func(m heard) bool { return m.state.GetNode() == except })
-	slices.SortFunc(members, func(a, b heard) int { return FirstForDuty(recordOf(a.state), recordOf(b.state)) })
+// leadingStates returns short states of the members that manage groups or are among the first of
+// the failure domain.
+func leadingStates(members []receivedState, domain, exclude string, now time.Time) []*marbleroadv1.NodeState {
+	members = slices.DeleteFunc(slices.Clone(members), func(m receivedState) bool { return m.state.GetNode() == exclude })
+	slices.SortFunc(members, func(a, b receivedState) int { return FirstForDuty(recordOf(a.state), recordOf(b.state)) })
 	var out []*marbleroadv1.NodeState
 	local := 0
 	for _, m := range members {
 		if m.state.GetFailureDomain() == domain {
 			local++
 		}
-		first := m.state.GetFailureDomain() == domain && local <= leadingNodes
+		first := m.state.GetFailureDomain() == domain && local <= maxLeadingNodes
 		if !first && len(m.state.GetDirecting()) == 0 {
 			continue
 		}
@@ -116,7 +116,7 @@
 			Directing:     m.state.GetDirecting(),
 			Loading:       m.state.GetLoading(),
 			Preparing:     m.state.GetPreparing(),
-			AgeMs:         ageMS(now, m.at),
+			AgeMs:         ageMS(now, m.asOf),
 		})
 	}
 	return out
@@ -124,10 +124,10 @@
 
 func ageMS(now, at time.Time) uint32 { return uint32(max(now.Sub(at).Milliseconds(), 0)) }
 
-// urgent tells whether two states of a node differ in what the others must learn
-// at once: groups that fell silent or are being taken apart, duties, a stop, the first callers, upstream
-// VMs that begin or end to name a limit, or leave.
-func urgent(old, next *marbleroadv1.NodeState) bool {
+// isUrgent reports whether two states of a node differ in something that the others must receive at
+// once: groups that became unresponsive or are being dissolved, roles, a stop, the first callers,
+// or upstream VMs that start or stop reporting a limit, or that leave.
+func isUrgent(old, next *marbleroadv1.NodeState) bool {
 	if old.GetStopping() != next.GetStopping() || old.GetTrafficSeen() != next.GetTrafficSeen() || !slices.Equal(old.GetDirecting(), next.GetDirecting()) ||
 		!slices.Equal(old.GetDissolving(), next.GetDissolving()) || conditionsDiffer(old, next) {
 		return true
@@ -142,19 +142,20 @@
 	return false
 }
 
-// urgentConditions is of how many upstream VMs a state may tell for a new one to be urgent: with many in
-// need the news comes all the time, and goes with the usual exchanges.
-const urgentConditions = 32
+// maxUrgentConditions is the largest number of upstream VM conditions in a state for which a new
+// one is urgent. With many overloaded VMs updates come all the time, and the regular exchanges
+// carry them.
+const maxUrgentConditions = 32
 
-// conditionsDiffer reports whether a state tells of an upstream VM that the one before did not tell of,
-// or that such a VM begins or ends to name a limit, or leaves.
+// conditionsDiffer reports whether a state has the condition of an upstream VM that the previous
+// one did not have, or of one that started or stopped reporting a limit, or that is leaving.
 func conditionsDiffer(old, next *marbleroadv1.NodeState) bool {
-	if len(next.GetConditions()) > urgentConditions {
+	if len(next.GetConditions()) > maxUrgentConditions {
 		return false
 	}
-	for _, one := range next.GetConditions() {
+	for _, added := range next.GetConditions() {
 		if !slices.ContainsFunc(old.GetConditions(), func(k *marbleroadv1.UpstreamCondition) bool {
-			return k.GetVm() == one.GetVm() && k.GetBorn() == one.GetBorn() && (k.Limit == nil) == (one.Limit == nil) && k.GetLeaving() == one.GetLeaving()
+			return k.GetVm() == added.GetVm() && k.GetBorn() == added.GetBorn() && (k.Limit == nil) == (added.Limit == nil) && k.GetLeaving() == added.GetLeaving()
 		}) {
 			return true
 		}
--- a/internal/cluster/topology.go
+++ b/internal/cluster/topology.go
@@ -9,58 +9,56 @@
 )
 
 const (
-	// flatNodes is up to how many nodes each exchanges with every other one. With
-	// more, a node exchanges with a hub of its failure domain, and hubs among each
-	// other: what one of 295 nodes knows then reaches all in 0.73 s and no node begins
-	// more than 30 exchanges a second (virtual time, TestWordOfOneNodeReachesAll);
-	// exchanges of all with all would come every 9 s by their interval.
-	flatNodes = 12
-	// hubsPerDomain is how many hubs each failure domain has, so that one that is
-	// lost costs half of its members one failed exchange.
+	// maxFlatNodes is the largest number of nodes that all exchange with each other. With more, a
+	// node exchanges with a hub of its failure domain, and the hubs with each other. The state of
+	// one of 295 nodes then reaches all in 0.73 s and no node makes more than 30 exchanges a
+	// second; in a full mesh each pair would exchange every 9 s.
+	maxFlatNodes = 12
+	// hubsPerDomain is the number of hubs of each failure domain. With two, the loss of one costs
+	// half of its members one failed exchange.
 	hubsPerDomain = 2
-	// membersPerHub is up to how many members a hub hears at the set interval: 32
-	// at 300 ms are about a hundred exchanges a second; their cost is not measured.
-	membersPerHub = 32
-	// hubCandidates is among how many nodes of a failure domain its hubs are chosen,
-	// so that a node that was cut off itself does not look for one among all others.
-	hubCandidates = 4
+	// maxMembersPerHub is the number of members that a hub serves at the configured interval: 32
+	// members at 300 ms make about a hundred exchanges a second.
+	maxMembersPerHub = 32
+	// maxHubCandidates is the number of nodes of a failure domain from which its hubs are chosen,
+	// so that a node that is itself partitioned does not try all others.
+	maxHubCandidates = 4
 )
 
-// topology is what the choice of the nodes to exchange with follows from. Its
-// methods are pure.
+// topology holds the input for the choice of the nodes to exchange with. Its methods are pure.
 type topology struct {
 	self Record
 	// others are the other nodes that may be in use.
 	others []Record
-	// nodes is how many nodes any node knows: all must choose alike between exchanging
-	// with all and having hubs.
-	nodes int
-	// shunned holds those that failed an exchange lately or are stopping, gone those
-	// that have failed for long.
-	shunned map[string]bool
-	gone    map[string]bool
-	// hears is true while this node sums up the states of members.
-	hears bool
-	// failureDomains are those of all nodes, local the number of nodes in this one's;
-	// count fills both in.
+	// maxKnownNodes is the largest number of nodes that any node counts: all nodes must make the
+	// same choice between a full mesh and hubs.
+	maxKnownNodes int
+	// excluded holds the nodes that recently failed an exchange or are stopping, unreachable those
+	// that have failed for a long time.
+	excluded    map[string]bool
+	unreachable map[string]bool
+	// hasMembers reports whether this node aggregates the states of members.
+	hasMembers bool
+	// failureDomains are the failure domains of all nodes, localNodes is the number of nodes in
+	// this one's; countNodes sets both.
 	failureDomains []string
-	local          int
+	localNodes     int
 }
 
 // flat reports whether each node exchanges with every other one.
-func (t topology) flat() bool { return max(len(t.others)+1, t.nodes) <= flatNodes }
+func (t topology) flat() bool { return max(len(t.others)+1, t.maxKnownNodes) <= maxFlatNodes }
 
-// before orders nodes by their fitness as hubs: the strongest first. Of equals the
-// last goes first, since duties fall to the first.
-func before(a, b Record) int {
+// compareForHub orders nodes by preference as hubs: the largest processor share first. Among equals
+// the last ID comes first, since roles fall to the first (see FirstForDuty).
+func compareForHub(a, b Record) int {
 	if c := cmp.Compare(b.Processor, a.Processor); c != 0 {
 		return c
 	}
 	return strings.Compare(b.ID, a.ID)
 }
 
-// FirstForDuty orders nodes by who takes a duty of which there is one in a failure domain: the
-// strongest first. Of equals the first by ID goes first, hubs are the last.
+// FirstForDuty orders nodes by preference for a role that one node of a failure domain has: the
+// largest processor share first. Among equals the first ID comes first, so that hubs come last.
 func FirstForDuty(a, b Record) int {
 	if c := cmp.Compare(b.Processor, a.Processor); c != 0 {
 		return c
@@ -68,49 +66,49 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// hubs lists the hubs of a failure domain, the fittest first. Where all candidates
-// failed, it may be this node that is cut off: the fittest are tried again.
+// hubs returns the hubs of a failure domain, the preferred first. If all candidates failed, this
+// node may itself be partitioned, and the preferred candidates are tried again.
 func (t topology) hubs(domain string) []Record {
 	all := t.candidates(domain)
-	fit := slices.DeleteFunc(slices.Clone(all), func(r Record) bool { return t.shunned[r.ID] })
-	if len(fit) == 0 {
-		fit = all
+	usable := slices.DeleteFunc(slices.Clone(all), func(r Record) bool { return t.excluded[r.ID] })
+	if len(usable) == 0 {
+		usable = all
 	}
-	return fit[:min(len(fit), hubsPerDomain)]
+	return usable[:min(len(usable), hubsPerDomain)]
 }
 
 func (t topology) candidates(domain string) []Record {
-	all := t.domain(domain)
-	return all[:min(len(all), hubCandidates)]
+	all := t.domainNodes(domain)
+	return all[:min(len(all), maxHubCandidates)]
 }
 
-// domain are the nodes of a failure domain, the fittest first.
-func (t topology) domain(domain string) []Record {
+// domainNodes returns the nodes of a failure domain, the preferred hubs first.
+func (t topology) domainNodes(domain string) []Record {
 	var out []Record
 	if t.self.FailureDomain == domain {
 		out = append(out, t.self)
 	}
 	for _, r := range t.others {
-		if r.FailureDomain == domain && !t.gone[r.ID] {
+		if r.FailureDomain == domain && !t.unreachable[r.ID] {
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, before)
+	slices.SortFunc(out, compareForHub)
 	return out
 }
 
-// isHub reports whether this node sums up others' states.
+// isHub reports whether this node aggregates other nodes' states.
 func (t topology) isHub() bool {
-	return t.hears || slices.Contains(t.hubs(t.self.FailureDomain), t.self)
+	return t.hasMembers || slices.Contains(t.hubs(t.self.FailureDomain), t.self)
 }
 
-// partners lists the nodes that this one exchanges with.
+// partners returns the nodes that this one exchanges with.
 func (t topology) partners() []Record {
 	if t.flat() {
 		return t.others
 	}
 	if !t.isHub() {
-		return []Record{t.hubOf()}
+		return []Record{t.assignedHub()}
 	}
 	var out []Record
 	for _, domain := range t.failureDomains {
@@ -123,23 +121,23 @@
 	return out
 }
 
-// hubOf is the hub of this node as a member: members spread over the hubs by
+// assignedHub returns the hub of this node as a member: members are spread over the hubs by
 // rendezvous hashing.
-func (t topology) hubOf() Record {
+func (t topology) assignedHub() Record {
 	hubs := t.hubs(t.self.FailureDomain)
 	return slices.MaxFunc(hubs, func(a, b Record) int {
 		return cmp.Compare(xxhash.Sum64String(a.ID+"/"+t.self.ID), xxhash.Sum64String(b.ID+"/"+t.self.ID))
 	})
 }
 
-// count fills in what the other methods need of all nodes.
-func (t *topology) count() {
-	t.local = 1
+// countNodes sets failureDomains and localNodes.
+func (t *topology) countNodes() {
+	t.localNodes = 1
 	t.failureDomains = []string{t.self.FailureDomain}
 	for _, r := range t.others {
 		t.failureDomains = append(t.failureDomains, r.FailureDomain)
 		if r.FailureDomain == t.self.FailureDomain {
-			t.local++
+			t.localNodes++
 		}
 	}
 	slices.Sort(t.failureDomains)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -108,9 +108,9 @@
 mutant "an unreadable object fails its page" platform/store.go \
   's/out\.fault = errors\.Wrap\(err, "decode object"\)/panic(err)/' ./platform TestUnreadableObjectHidesNoOther
 mutant "a member is summed up for the one who asks" internal/cluster/sum.go \
-  's/m\.state\.GetNode\(\) != except/true/' ./internal/cluster TestWordOfOneNodeReachesAll
+  's/m\.state\.GetNode\(\) != exclude/true/' ./internal/cluster TestStateOfOneNodeReachesAll
 mutant "a lost hub is not replaced" internal/cluster/topology.go \
-  's/return t\.shunned\[r\.ID\]/return false/' ./internal/cluster TestLostHubsAreReplaced
+  's/return t\.excluded\[r\.ID\]/return false/' ./internal/cluster TestLostHubsAreReplaced
 mutant "a hub does not name those who manage groups" internal/cluster/sum.go \
   's/ && len\(m\.state\.GetDirecting\(\)\) == 0//' ./internal/cluster TestClaimsAndFirstNodesAreKnown
 mutant "directors decide by the same counts" internal/director/place.go \
@@ -126,7 +126,7 @@
 mutant "followers press a store that is away" internal/feed/feed.go \
   's/if now\.Before\(o\.quietUntil\) && /if false \&\& /' ./internal/feed TestFollowersLeaveADeadStoreToTheirLeaders
 mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
-  's/\t\t\tp\.State, p\.HeardAt = state, now\n//; s/nodes: c\.told, //' ./internal/cluster TestNodesThatCountDifferently
+  's/\t\t\tp\.State, p\.HeardAt = state, now\n//; s/maxKnownNodes: c\.maxKnownNodes, //' ./internal/cluster TestNodesThatCountDifferently
 mutant "a group whose head has not reported yet is broken up" internal/director/dissolve.go \
   's/case w\.headVM == nil && now\.Sub\(w\.firstSeen\) <= orphanAfter:.*?\t\treturn\n//s' ./internal/director TestGroupWhoseHeadHasNotReported
 mutant "a group that is whole again counts as short" internal/director/watch.go \
@@ -232,7 +232,7 @@
 mutant "a new life has its fixed part at once" internal/retry/budget.go \
   's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestRepeatsOfManyLives
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
-  's/if !c\.recordsRead\.Load\(\)/if false/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
+  's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
   's/\tneverReplayed\(req\)\n/\tif o.Once {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestNoRequestIsSentTwiceUnseen
 mutant "a stale connection is a failure" internal/relay/sender.go \
@@ -307,7 +307,7 @@
 mutant "what was missed is not told anew" internal/quarantine/gossip.go \
   's/if differs \&\& /if false \&\& /' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what others told is passed on to all" internal/quarantine/gossip.go \
-  's/p\.asked, mostTold, relay/p.asked, mostTold, relay || true/' ./internal/cluster TestManyCrashesAreToldInBounds
+  's/p\.asked, mostTold, relay/p.asked, mostTold, relay || true/' ./internal/cluster TestManyCrashesSendBoundedRecords
 mutant "the store is not read at the start" internal/quarantine/archive.go \
   's/if !first \&\& !a\.reads\(\)/if first || !a.reads()/' ./internal/quarantine TestQuarantineOutlivesAllNodes
 mutant "what the store holds is not taken" internal/quarantine/archive.go \
@@ -368,9 +368,9 @@
 mutant "copies ahead have no end" internal/placement/copies.go \
   's/aheadGroups = 2/aheadGroups = 1000/' ./internal/placement TestCopiesAheadAreBounded
 mutant "a member counts as long as it lives" internal/cluster/share.go \
-  's/countedIntervals\*c\.memberInterval\(\)/c.liveFor()/' ./internal/cluster TestMovedMemberCountsAtOneHub
+  's/memberLoadIntervals\*c\.memberInterval\(\)/c.livenessTimeout()/' ./internal/cluster TestMovedMemberCountsAtOneHub
 mutant "a hub names its own groups apart" internal/cluster/share.go \
-  's/own\.Loads, own\.Demand = nil, nil//' ./internal/cluster TestAnswerToAMemberNamesEachGroupOnce
+  's/ownState\.Loads, ownState\.Demand = nil, nil//' ./internal/cluster TestAnswerToAMemberNamesEachGroupOnce
 mutant "each answer is judged by itself" internal/director/state.go \
   's/if !s\.lookPending \{/if true {/' ./internal/director TestAnswersOfManyVMsAreJudgedTogether
 mutant "all VMs get copies before the first callers" internal/placement/copies.go \
@@ -384,7 +384,7 @@
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
   's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
-  's/if !heard \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
+  's/if !domainReachable \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
   's/if wanted >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersKeepToALimitInSum
 mutant "backpressure: a foreign node uses the whole limit" internal/backpressure/sharing.go \
