--- a/internal/item/item.go
+++ b/internal/item/item.go
@@ -1,8 +1,8 @@
-// Package item keeps versioned objects (table rows, group plans, node records,
-// membership lists, drain orders) and passes them between processes.
+// Package item stores versioned objects (table rows, group plans, node records, membership lists,
+// drain orders) and passes them between processes.
 //
-// Invariant: for each key the version held never falls. That one rule is what
-// keeps an accepted change from reverting, whichever stale peer is met.
+// Invariant: the stored version of a key never decreases. This alone keeps an accepted change from
+// being reverted by a stale peer.
 package item
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key prefixes of the items.
+// Key prefixes of the items, by kind.
 const (
 	TablePrefix   = "table/"
 	PlanPrefix    = "plan/"
@@ -29,7 +29,7 @@
 	Value   []byte
 }
 
-// Cursor names a position in one Set's change log.
+// Cursor is a position in one Set's change log.
 type Cursor struct {
 	Incarnation uint64
 	Sequence    uint64
@@ -40,8 +40,7 @@
 	sequence uint64
 }
 
-// Set holds the newest known version of each item. All methods may be called
-// from any goroutine.
+// Set holds the newest received version of each item. All methods may be called from any goroutine.
 type Set struct {
 	incarnation uint64
 
@@ -51,15 +50,13 @@
 	digest   uint64
 }
 
-// NewSet returns an empty set. The incarnation is a number that no earlier
-// process of the same node has used with overwhelming likelihood; cursors of
-// other incarnations read from the start.
+// NewSet returns an empty set. The incarnation is a number that, with overwhelming likelihood, no
+// earlier process of the same node has used; a cursor of another incarnation reads from the start.
 func NewSet(incarnation uint64) *Set {
 	return &Set{incarnation: incarnation, entries: make(map[string]entry)}
 }
 
-// Adopt stores the item if its version is higher than the one held. It
-// reports whether it did.
+// Adopt stores the item if its version is higher than the stored one. It reports whether it did.
 func (s *Set) Adopt(it Item) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,18 +105,17 @@
 	return s.digest
 }
 
-// Sequence counts the changes adopted so far.
+// Sequence returns the number of changes adopted so far.
 func (s *Set) Sequence() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.sequence
 }
 
-// Since returns the items that keep accepts and that changed after the
-// cursor, oldest change first, and the cursor to ask with next time. A
-// requester whose table has the given digest gets no table rows: it has them
-// all, whoever it got them from. Digest and log are read at one moment, so no
-// row falls between.
+// Since returns the items that keep accepts and that changed after the cursor, oldest change first,
+// and the cursor for the next call. If the digest equals this set's, no table rows are returned:
+// the requester already has all of them, possibly from other peers. The digest and the log are read
+// under one lock, so no row is missed between them.
 func (s *Set) Since(c Cursor, digest uint64, keep func(key string) bool) ([]Item, Cursor) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/item/item_test.go
+++ b/internal/item/item_test.go
@@ -8,8 +8,8 @@
 	_ "github.com/marbleroad/marbleroad/test/seed"
 )
 
-// TestNeverReverts drives sets that exchange items in any order against an
-// oracle that only knows the highest version of each key.
+// TestNeverReverts checks sets that exchange items in any order against an oracle that only has the
+// highest version of each key.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 3
@@ -52,7 +52,8 @@
 			},
 			"restart": func(t *rapid.T) {
 				n := node.Draw(t, "node")
-				// What only this node held is gone; the highest version is what others hold.
+				// Items that only this node held are lost; the highest version is now the highest
+				// one held by any node.
 				incarnation++
 				sets[n] = NewSet(incarnation)
 				cursors[n] = make([]Cursor, nodes)
@@ -70,7 +71,7 @@
 					for k := range highest {
 						it, _ := s.Get(k)
 						if it.Version < seen[n][k] {
-							t.Fatalf("node %d: %s fell from %d to %d", n, k, seen[n][k], it.Version)
+							t.Fatalf("node %d: the version of %s decreased from %d to %d", n, k, seen[n][k], it.Version)
 						}
 						seen[n][k] = it.Version
 					}
@@ -89,11 +90,11 @@
 		for n, s := range sets {
 			for k, want := range highest {
 				if it, _ := s.Get(k); it.Version != want {
-					t.Fatalf("node %d has %s at %d, want %d", n, k, it.Version, want)
+					t.Fatalf("node %d has %s at version %d, want %d", n, k, it.Version, want)
 				}
 			}
 			if s.Digest() != sets[0].Digest() {
-				t.Fatalf("digests differ after all exchanged")
+				t.Fatalf("digests differ after all sets exchanged items")
 			}
 		}
 	})
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -1,6 +1,5 @@
-// Package presence keeps what each upstream VM last said of itself and when
-// it was asked. Times are monotonic and count from when a probe was sent, so
-// a slow answer can only make a VM look staler than it is.
+// Package presence stores the last result of probing each upstream VM. Times are monotonic and
+// count from when a probe was sent, so a slow response can only make a VM look staler than it is.
 package presence
 
 import (
@@ -9,33 +8,33 @@
 	"time"
 )
 
-// Witness is one VM's own word, as answered to a probe.
+// Witness is one VM's response to a probe.
 type Witness struct {
 	VM         string
 	Group      string
 	Generation uint64
 	Rank       int
-	// Size is the number of VMs in the group; zero when the VM is in none.
+	// Size is the number of VMs in the group; zero when the VM is in no group.
 	Size int
 	// Fence is the highest fencing token that the VM has obeyed.
 	Fence uint64
 	// Ready is true when the VM can take part in serving.
 	Ready bool
-	// Leaving is true when the VM wants no new work.
+	// Leaving is true when the VM accepts no new work.
 	Leaving bool
-	// Gone is true when the VM's port was closed: its process is not running.
+	// Gone is true when the VM's port was closed, which means that its process is not running.
 	Gone bool
-	// InFlight and Queued are the engine's lagging load report, in requests.
+	// InFlight and Queued are the engine's load in requests; the report lags behind the actual
+	// load.
 	InFlight int
 	Queued   int
-	// Slots is how many requests the VM runs at once.
+	// Slots is the number of requests that the VM runs at once.
 	Slots int
 	// SentAt is when the probe was sent, on this process's monotonic clock.
 	SentAt time.Time
 }
 
-// Board holds the newest witness of each VM. Methods may be called from any
-// goroutine.
+// Board holds the newest probe result of each VM. Methods may be called from any goroutine.
 type Board struct {
 	mu  sync.RWMutex
 	vms map[string]Witness
@@ -46,7 +45,7 @@
 	return &Board{vms: make(map[string]Witness)}
 }
 
-// Record stores w unless a witness from a later probe is already there.
+// Record stores w unless the result of a later probe is already stored.
 func (b *Board) Record(w Witness) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +56,7 @@
 	b.vms[w.VM] = w
 }
 
-// Forget drops VMs whose last probe was sent before the given time.
+// Forget removes the VMs whose last probe was sent before the given time.
 func (b *Board) Forget(before time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +67,7 @@
 	}
 }
 
-// Get returns the VM's witness.
+// Get returns the VM's newest probe result.
 func (b *Board) Get(vm string) (Witness, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -76,7 +75,7 @@
 	return w, ok
 }
 
-// Sorted returns the witnesses that keep accepts, in the order of their VMs' names.
+// Sorted returns the probe results of the VMs that keep accepts, ordered by VM name.
 func (b *Board) Sorted(keep func(vm string) bool) []Witness {
 	b.mu.RLock()
 	out := make([]Witness, 0, len(b.vms))
@@ -90,8 +89,8 @@
 	return out
 }
 
-// Fresh reports whether the VM counts as present: it answered a probe sent
-// within the window.
+// Fresh reports whether the VM counts as present: it responded to a probe that was sent within the
+// window.
 func (w Witness) Fresh(now time.Time, window time.Duration) bool {
 	return !w.Gone && now.Sub(w.SentAt) <= window
 }
--- a/internal/wait/backoff.go
+++ b/internal/wait/backoff.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Backoff spaces out the tries of something that fails: each pause is about twice as
-// long as the one before, up to a bound, and random within a factor of two, so that
-// many processes that failed together don't try together.
+// Backoff computes the pauses between attempts at an operation that fails: each pause is about
+// twice the previous one, up to a bound, and random within a factor of two, so that many processes
+// that failed together don't retry together.
 type Backoff struct {
 	Least, Most time.Duration
 	failures    int
 }
 
-// Next is the pause before the next try.
+// Next returns the pause before the next attempt.
 func (b *Backoff) Next() time.Duration {
 	pause := b.Least
 	for range b.failures {
@@ -25,5 +25,5 @@
 	return pause + rand.N(pause)
 }
 
-// Succeeded has the next failure begin anew.
+// Succeeded resets the pauses to the shortest one.
 func (b *Backoff) Succeeded() { b.failures = 0 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait has the one bounded sleep that all loops use, and their lifecycle.
+// Package wait provides the cancellable sleep, the retry backoff and the lifecycle of background
+// loops.
 package wait
 
 import (
@@ -7,26 +8,26 @@
 	"time"
 )
 
-// Loop runs one function on a goroutine of its own until it is stopped.
+// Loop runs one function in its own goroutine until it is stopped.
 type Loop struct {
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// Start runs f with a context that Stop ends. It is called once.
+// Start runs f with a context that Stop cancels. It must be called only once.
 func (l *Loop) Start(f func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
 	l.done.Go(func() { f(ctx) })
 }
 
-// Stop ends the function's context and waits for its return.
+// Stop cancels the function's context and waits for the function to return.
 func (l *Loop) Stop() {
 	l.cancel()
 	l.done.Wait()
 }
 
-// Sleep waits for d. It reports false when ctx ended first.
+// Sleep waits for d. It returns false if ctx was canceled first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
