--- a/internal/catalog/keeper.go
+++ b/internal/catalog/keeper.go
@@ -142,14 +142,14 @@
 func (k *Keeper) loop(ctx context.Context) {
 	var revision uint64
 	listed := false
-	missing := wait.Backoff{Least: firstReadPause, Most: mostRetryPause}
-	failing := wait.Backoff{Least: retryPause, Most: mostRetryPause}
+	missing := wait.Backoff{Min: firstReadPause, Max: mostRetryPause}
+	failing := wait.Backoff{Min: retryPause, Max: mostRetryPause}
 	for ctx.Err() == nil {
 		w, err := k.ask(ctx, listed, revision)
 		switch {
 		case err == nil:
 			listed, revision = true, w.Revision
-			failing.Succeeded()
+			failing.Reset()
 			k.proven(w)
 		case errors.Is(err, platform.ErrCompacted):
 			k.log.Emit(event.HistoryGone).Str("of", "catalog").Uint64("revision", revision).Send()
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -80,20 +80,20 @@
 // StateSource returns the state that this node shares. Each call returns a new message.
 type StateSource func() *marbleroadv1.NodeState
 
-// PeerFunc handles a received state; heardAt is the time from which it dates. A hub's state may be
-// the aggregate of many nodes' states.
-type PeerFunc func(state *marbleroadv1.NodeState, heardAt time.Time)
+// PeerFunc handles a received state that dates from the time asOf. A hub's state may be the
+// aggregate of many nodes' states.
+type PeerFunc func(state *marbleroadv1.NodeState, asOf time.Time)
 
 // Quarantine supplies and processes the quarantine updates that each exchange also carries.
 type Quarantine interface {
-	// Ask returns the updates to send with a call to a peer; relay reports whether this node passes
-	// on updates that it received from others. Asked processes the response to a call that was sent
-	// at the time asked.
-	Ask(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews
-	Asked(asked time.Time, peer string, news *marbleroadv1.QuarantineNews)
-	// Answer processes the updates that came with a peer's call and returns those for the response;
-	// member reports that this node does not call the peer.
-	Answer(now time.Time, peer string, member bool, news *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews
+	// NewRequest returns the updates to send with a call to a peer; relay reports whether this node
+	// passes on updates that it received from others. HandleResponse processes the updates in the
+	// response to a call that was sent at sentAt.
+	NewRequest(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews
+	HandleResponse(sentAt time.Time, peer string, updates *marbleroadv1.QuarantineNews)
+	// HandleRequest processes the updates that came with a peer's call and returns those for the
+	// response; member reports that the peer is a member, which this node does not call.
+	HandleRequest(now time.Time, peer string, member bool, updates *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews
 }
 
 // Link carries exchanges to other nodes.
@@ -106,9 +106,9 @@
 type Peer struct {
 	Record
 	State *marbleroadv1.NodeState
-	// HeardAt is the time from which the state dates: when the exchange that delivered it was sent,
+	// LastSeen is the time from which the state dates: when the exchange that delivered it was sent,
 	// minus the age that the state had then.
-	HeardAt time.Time
+	LastSeen time.Time
 }
 
 // Cluster is the service that exchanges states with the other nodes.
@@ -196,8 +196,9 @@
 // ServeFeed makes the cluster serve followers from f. It must be called before Start.
 func (c *Cluster) ServeFeed(f Feed) { c.feed = f }
 
-// Exchange makes each exchange carry the updates of the quarantine. It must be called before Start.
-func (c *Cluster) Exchange(q Quarantine) { c.quarantine = q }
+// SetQuarantine makes each exchange carry the updates of the quarantine. It must be called before
+// Start.
+func (c *Cluster) SetQuarantine(q Quarantine) { c.quarantine = q }
 
 // Name implements kernel.Service.
 func (c *Cluster) Name() string { return ServiceName }
@@ -235,15 +236,15 @@
 	c.done.Wait()
 }
 
-// LiveFor returns how long a node counts as live after it was last seen.
-func (c *Cluster) LiveFor() time.Duration {
+// LivenessTimeout returns how long a node counts as live after it was last seen.
+func (c *Cluster) LivenessTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.livenessTimeout()
 }
 
-// livenessTimeout implements LiveFor. With hubs, a state passes through two of them. It is called
-// with mu held.
+// livenessTimeout implements LivenessTimeout. With hubs, a state passes through two of them. It is
+// called with mu held.
 func (c *Cluster) livenessTimeout() time.Duration {
 	if c.topology.flat() {
 		return liveIntervals*c.meshInterval() + shareTimeout
@@ -286,7 +287,7 @@
 	livenessTimeout := c.livenessTimeout()
 	var out []Peer
 	for _, p := range c.known {
-		if p.State != nil && now.Sub(p.HeardAt) <= livenessTimeout {
+		if p.State != nil && now.Sub(p.LastSeen) <= livenessTimeout {
 			out = append(out, p.Peer)
 		}
 	}
@@ -294,9 +295,9 @@
 	return out
 }
 
-// Domain returns the nodes of this failure domain, this one included and the preferred hubs first,
-// and whether the nodes' records have been read.
-func (c *Cluster) Domain() ([]Record, bool) {
+// DomainNodes returns the nodes of this failure domain, this one included and the preferred hubs
+// first, and whether the nodes' records have been read.
+func (c *Cluster) DomainNodes() ([]Record, bool) {
 	if c.recordsAt.Load() == nil {
 		return nil, false
 	}
@@ -305,8 +306,8 @@
 	return c.topology.domainNodes(c.config.Self.FailureDomain), true
 }
 
-// KnownSince returns when the nodes' records were first read, and false before that.
-func (c *Cluster) KnownSince() (time.Time, bool) {
+// RecordsReadAt returns when the nodes' records were first read, and false before that.
+func (c *Cluster) RecordsReadAt() (time.Time, bool) {
 	if at := c.recordsAt.Load(); at != nil {
 		return *at, true
 	}
@@ -323,18 +324,18 @@
 // size implements Size. It is called with mu held.
 func (c *Cluster) size() int { return max(len(c.known)+1, c.maxKnownNodes) }
 
-// Counted returns the number of nodes that share a cluster-wide limit. It is 0 until the other
+// KnownSize returns the number of nodes that share a cluster-wide limit. It is 0 until the other
 // nodes' records have been read: until then a node that took itself for the only one would use the
 // full limit.
-func (c *Cluster) Counted() int {
+func (c *Cluster) KnownSize() int {
 	if c.recordsAt.Load() == nil {
 		return 0
 	}
 	return c.Size()
 }
 
-// Nudge triggers an exchange with each of this node's partners now.
-func (c *Cluster) Nudge() {
+// TriggerExchange triggers an exchange with each of this node's partners now.
+func (c *Cluster) TriggerExchange() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.exchangers {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -51,11 +51,11 @@
 	store.unavailable.Store(true)
 	c := startNode(t, store)
 	waitUntil(t, "the records to be listed", func() bool { return store.lists.Load() > 0 })
-	if n := c.Counted(); n != 0 {
+	if n := c.KnownSize(); n != 0 {
 		t.Errorf("%d nodes are counted before their records were read", n)
 	}
 	store.unavailable.Store(false)
-	waitUntil(t, "all nodes to be counted", func() bool { return c.Counted() == 3 })
+	waitUntil(t, "all nodes to be counted", func() bool { return c.KnownSize() == 3 })
 }
 
 // TestRegistrationBacksOff: while the store refused, a node that could not register (event 3005)
@@ -97,7 +97,7 @@
 		{Key: nodesPrefix + "b", Value: []byte(`{"id":"b","address":"127.0.0.1:1"}`)},
 	}}
 	c := startNode(t, store)
-	waitUntil(t, "the other node to be known", func() bool { return c.Counted() == 2 })
+	waitUntil(t, "the other node to be known", func() bool { return c.KnownSize() == 2 })
 	if n := store.writes.Load(); n != 0 {
 		t.Errorf("%d writes of an unchanged record", n)
 	}
--- a/internal/cluster/hubs_test.go
+++ b/internal/cluster/hubs_test.go
@@ -122,7 +122,7 @@
 		}
 		return out
 	})
-	n.Exchange(quarantine.NewGossip(n.suspects, f.log))
+	n.SetQuarantine(quarantine.NewGossip(n.suspects, f.log))
 	n.OnPeer(func(s *marbleroadv1.NodeState, at time.Time) { n.received.Store(s.GetNode(), receivedState{s, at}) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +149,7 @@
 // receivedLoad returns the load of the group in the live states that a node has received.
 func (n *testNode) receivedLoad() int {
 	total := 0
-	livenessTimeout := n.LiveFor()
+	livenessTimeout := n.LivenessTimeout()
 	n.received.Range(func(_, v any) bool {
 		h := v.(receivedState)
 		if time.Since(h.asOf) <= livenessTimeout {
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -111,7 +111,7 @@
 // registerBackoff returns the backoff between attempts to register. Without it each node queried a
 // refusing store every 0.15 to 0.3 s, hundreds of nodes at a large site.
 func registerBackoff() *wait.Backoff {
-	return &wait.Backoff{Least: minRegisterPause, Most: maxRegisterPause}
+	return &wait.Backoff{Min: minRegisterPause, Max: maxRegisterPause}
 }
 
 // register writes this node's record. No other node writes it, so a conflicting record is from a
@@ -167,6 +167,6 @@
 		p.Record = r
 		return false
 	}
-	c.known[r.ID] = &peer{Peer: Peer{Record: r}, backoff: wait.Backoff{Least: minExclusion, Most: maxExclusion}}
+	c.known[r.ID] = &peer{Peer: Peer{Record: r}, backoff: wait.Backoff{Min: minExclusion, Max: maxExclusion}}
 	return true
 }
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -64,7 +64,7 @@
 		if now.Before(p.excludedUntil) || p.State.GetStopping() {
 			t.excluded[id] = true
 		}
-		if !p.failingSince.IsZero() && now.Sub(p.failingSince) > unreachableAfter && now.Sub(p.HeardAt) > unreachableAfter {
+		if !p.failingSince.IsZero() && now.Sub(p.failingSince) > unreachableAfter && now.Sub(p.LastSeen) > unreachableAfter {
 			t.unreachable[id] = true
 		}
 	}
@@ -122,14 +122,14 @@
 	sentAt := clock.Now()
 	request := &marbleroadv1.ShareStateRequest{State: c.outgoingState(sentAt, "", false)}
 	if c.quarantine != nil {
-		request.Quarantine = c.quarantine.Ask(sentAt, to.ID, !flat)
+		request.Quarantine = c.quarantine.NewRequest(sentAt, to.ID, !flat)
 	}
 	response, err := c.link.Share(ctx, to, request)
 	if err != nil {
 		return errors.Wrapf(err, "share state with %s", to.ID)
 	}
 	if c.quarantine != nil {
-		c.quarantine.Asked(sentAt, to.ID, response.GetQuarantine())
+		c.quarantine.HandleResponse(sentAt, to.ID, response.GetQuarantine())
 	}
 	c.recordSuccess(p)
 	c.receive(response.GetState(), sentAt)
@@ -149,7 +149,7 @@
 // markReachable clears the record of failed exchanges with the node.
 func (p *peer) markReachable() {
 	p.excludedUntil, p.failingSince = time.Time{}, time.Time{}
-	p.backoff.Succeeded()
+	p.backoff.Reset()
 }
 
 // outgoingState returns the state that this node sends to another one: its own or, on a hub, the
@@ -196,11 +196,11 @@
 	}
 	for id, p := range c.known {
 		_, member := c.members[id]
-		if member || p.State == nil || p.State.GetSummed() > 0 || now.Sub(p.HeardAt) > livenessTimeout {
+		if member || p.State == nil || p.State.GetSummed() > 0 || now.Sub(p.LastSeen) > livenessTimeout {
 			continue
 		}
 		if p.FailureDomain == c.config.Self.FailureDomain || len(p.State.GetDirecting()) > 0 {
-			out = append(out, receivedState{p.State, p.HeardAt})
+			out = append(out, receivedState{p.State, p.LastSeen})
 		}
 	}
 	return out
@@ -219,7 +219,7 @@
 		p.failingSince = now
 	}
 	hierarchical := !c.topology.flat()
-	if !p.lost && p.State != nil && clock.Since(p.HeardAt) > c.livenessTimeout() {
+	if !p.lost && p.State != nil && clock.Since(p.LastSeen) > c.livenessTimeout() {
 		p.lost = true
 		c.log.Emit(event.PeerLost).Str("peer", p.ID).Err(err).Send()
 	}
@@ -273,11 +273,11 @@
 	defer c.mu.Unlock()
 	c.maxKnownNodes = max(c.maxKnownNodes, int(state.GetKnownNodes()))
 	p := c.known[state.GetNode()]
-	if p == nil || at.Before(p.HeardAt) {
+	if p == nil || at.Before(p.LastSeen) {
 		return
 	}
 	p.State = state
-	p.HeardAt = at
+	p.LastSeen = at
 	if state.GetSummed() > 0 {
 		c.aggregates[p.ID] = receivedState{state, at}
 	}
@@ -304,14 +304,14 @@
 		c.updatePartners()
 	}
 	if urgent {
-		c.Nudge()
+		c.TriggerExchange()
 	}
 	out := &marbleroadv1.ShareStateResponse{State: c.outgoingState(now, state.GetNode(), state.GetMember())}
 	if state.GetMember() {
 		out.Others = c.otherAggregates(out.State, now)
 	}
 	if c.quarantine != nil {
-		out.Quarantine = c.quarantine.Answer(now, state.GetNode(), state.GetMember(), r.GetQuarantine())
+		out.Quarantine = c.quarantine.HandleRequest(now, state.GetNode(), state.GetMember(), r.GetQuarantine())
 	}
 	return out
 }
@@ -332,13 +332,13 @@
 		p.markReachable()
 		if !c.topology.flat() && state.GetSummed() == 0 {
 			// The caller still counts few nodes and exchanges with all.
-			p.State, p.HeardAt = state, now
+			p.State, p.LastSeen = state, now
 		}
 		return false, false
 	}
 	old := c.members[p.ID]
 	c.members[p.ID] = receivedState{state, now}
-	p.State, p.HeardAt = state, now
+	p.State, p.LastSeen = state, now
 	return isUrgent(old.state, state), !c.hub && !c.topology.flat()
 }
 
--- a/internal/cluster/sharing.go
+++ b/internal/cluster/sharing.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		out.Nodes = append(out.Nodes, id)
-		domainReachable = domainReachable || (p.State != nil && now.Sub(p.HeardAt) <= livenessTimeout)
+		domainReachable = domainReachable || (p.State != nil && now.Sub(p.LastSeen) <= livenessTimeout)
 	}
 	if !domainReachable {
 		out.Nodes, out.Foreign = others, true
--- a/internal/cluster/sharing_test.go
+++ b/internal/cluster/sharing_test.go
@@ -87,7 +87,7 @@
 		v.arrivals = append(v.arrivals, now)
 	}
 	if table.Heard(now, now, v.life, backpressure.Notice{Limited: true, Limit: v.limit}) == backpressure.LimitNamed {
-		n.Nudge()
+		n.TriggerExchange()
 	}
 }
 
--- a/internal/cluster/sum.go
+++ b/internal/cluster/sum.go
@@ -96,7 +96,7 @@
 // the failure domain.
 func leadingStates(members []receivedState, domain, exclude string, now time.Time) []*marbleroadv1.NodeState {
 	members = slices.DeleteFunc(slices.Clone(members), func(m receivedState) bool { return m.state.GetNode() == exclude })
-	slices.SortFunc(members, func(a, b receivedState) int { return FirstForDuty(recordOf(a.state), recordOf(b.state)) })
+	slices.SortFunc(members, func(a, b receivedState) int { return CompareForRole(recordOf(a.state), recordOf(b.state)) })
 	var out []*marbleroadv1.NodeState
 	local := 0
 	for _, m := range members {
--- a/internal/cluster/topology.go
+++ b/internal/cluster/topology.go
@@ -49,7 +49,7 @@
 func (t topology) flat() bool { return max(len(t.others)+1, t.maxKnownNodes) <= maxFlatNodes }
 
 // compareForHub orders nodes by preference as hubs: the largest processor share first. Among equals
-// the last ID comes first, since roles fall to the first (see FirstForDuty).
+// the last ID comes first, since roles fall to the first (see CompareForRole).
 func compareForHub(a, b Record) int {
 	if c := cmp.Compare(b.Processor, a.Processor); c != 0 {
 		return c
@@ -57,9 +57,9 @@
 	return strings.Compare(b.ID, a.ID)
 }
 
-// FirstForDuty orders nodes by preference for a role that one node of a failure domain has: the
+// CompareForRole orders nodes by preference for a role that one node of a failure domain has: the
 // largest processor share first. Among equals the first ID comes first, so that hubs come last.
-func FirstForDuty(a, b Record) int {
+func CompareForRole(a, b Record) int {
 	if c := cmp.Compare(b.Processor, a.Processor); c != 0 {
 		return c
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -4,7 +4,7 @@
 // Concurrency: one actor (state) owns the control state. Probes, exchanges,
 // platform calls and orders run on goroutines of their own and report to the
 // actor by typed messages. What they need from it is published as an immutable
-// *duties behind an atomic pointer. item.Set and presence.Board are shared and
+// *duties behind an atomic pointer. item.Set and presence.Registry are shared and
 // lock themselves.
 package control
 
@@ -76,7 +76,7 @@
 	parts       Parts
 	incarnation uint64
 	items       *item.Set
-	board       *presence.Board
+	board       *presence.Registry
 	client      *http.Client
 
 	system *actor.ActorSystem
@@ -105,7 +105,7 @@
 		parts:       p,
 		incarnation: incarnation,
 		items:       item.NewSet(incarnation),
-		board:       presence.NewBoard(),
+		board:       presence.NewRegistry(),
 		client:      p.Peers.Client(),
 		probed:      newOwnProbes(),
 	}
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -357,7 +357,7 @@
 	return order
 }
 
-func obeyed(o engine.Order, w presence.Witness) bool {
+func obeyed(o engine.Order, w presence.ProbeResult) bool {
 	return w.Group == o.Group && w.Generation == o.Generation && w.Rank == o.Rank && w.Size == o.Size
 }
 
--- a/internal/control/probe.go
+++ b/internal/control/probe.go
@@ -114,6 +114,6 @@
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
-	k.board.Record(presence.Witness{VM: m.VM, SentAt: sentAt, Gone: true})
+	k.board.Record(presence.ProbeResult{VM: m.VM, SentAt: sentAt, Terminated: true})
 	return true
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -196,7 +196,7 @@
 	s.loseSilentPeers(now)
 	s.trackMissing(now, snapshot)
 	s.account(now, snapshot)
-	s.k.board.Forget(now.Add(-forgetAfter))
+	s.k.board.RemoveBefore(now.Add(-forgetAfter))
 	live := s.liveNodes(now)
 	s.nodes = snapshot.Nodes
 	s.leases = leasesFor(exchangeInterval(s.k.config.ExchangeInterval, len(s.neighbours)))
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -77,7 +77,7 @@
 	}
 	nodes = cluster.New(cluster.Config{Self: self, Listen: s.Cluster.Listen, Interval: s.Cluster.Interval}, b.log, store, b.peers, state)
 	suspects := quarantine.NewTable()
-	nodes.Exchange(quarantine.NewGossip(suspects, b.log))
+	nodes.SetQuarantine(quarantine.NewGossip(suspects, b.log))
 	archive := quarantine.NewArchive(suspects, store, b.log, leader.Reads, clock.Now)
 	server = gateway.NewServer(b.gatewayConfig(), gateway.Parts{
 		Log:        b.log,
@@ -87,13 +87,13 @@
 		Directory:  directory,
 		Caller:     platform.Caller{},
 		Upstream:   platform.Upstream{},
-		Nodes:      nodes.Counted,
-		LiveFor:    nodes.LiveFor,
+		Nodes:      nodes.KnownSize,
+		LiveFor:    nodes.LivenessTimeout,
 		Suspect:    func(group string, generation uint64) { groups.Suspect(group, generation) },
 		Sharing:    func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
 		StepDown:   func() { groups.StepDown() },
 		Dissolving: func() []string { return groups.Dissolving() },
-		Nudge:      nodes.Nudge,
+		Nudge:      nodes.TriggerExchange,
 		Quarantine: suspects,
 	})
 	engines := platform.NewEngine(newTransport(s.Cluster.Listen, reportIdle, &b.peers.Traffic.Upstreams))
@@ -137,7 +137,7 @@
 		startup.NewWatch(b.log, b.metrics,
 			startup.Part{Name: "configuration", There: func() bool { return keeper.Catalog() != nil }},
 			startup.Part{Name: "upstreams", There: func() bool { return directory.Snapshot() != nil }},
-			startup.Part{Name: "nodes", There: func() bool { return nodes.Counted() > 0 }},
+			startup.Part{Name: "nodes", There: func() bool { return nodes.KnownSize() > 0 }},
 			startup.Part{Name: "keys", There: server.KeysProven},
 			startup.Part{Name: "groups", There: server.HasGroups},
 		),
@@ -161,7 +161,7 @@
 func (n liveNodes) Size() int { return (*n.cluster).Size() }
 
 // Domain implements feed.Nodes.
-func (n liveNodes) Domain() ([]cluster.Record, bool) { return (*n.cluster).Domain() }
+func (n liveNodes) DomainNodes() ([]cluster.Record, bool) { return (*n.cluster).DomainNodes() }
 
 func (b base) gatewayConfig() gateway.Config {
 	s := b.settings
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -63,9 +63,9 @@
 // Nodes tells the live nodes, and shares this one's state with them at once.
 type Nodes interface {
 	Live(now time.Time) []cluster.Peer
-	Nudge()
-	// KnownSince is when the records of all nodes were first read; false before.
-	KnownSince() (time.Time, bool)
+	TriggerExchange()
+	// RecordsReadAt is when the records of all nodes were first read; false before.
+	RecordsReadAt() (time.Time, bool)
 }
 
 // Parts are the director's collaborators.
@@ -159,7 +159,7 @@
 // StepDown leaves the groups to other nodes; called when a stop begins.
 func (d *Director) StepDown() {
 	d.stopping.Store(true)
-	d.parts.Nodes.Nudge()
+	d.parts.Nodes.TriggerExchange()
 }
 
 // Stop implements kernel.Service.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -15,9 +15,9 @@
 
 func (n *node) peer(now time.Time) cluster.Peer {
 	return cluster.Peer{
-		Record:  cluster.Record{ID: n.d.config.NodeID, FailureDomain: n.domain, Processor: n.d.config.Processor},
-		State:   &marbleroadv1.NodeState{Node: n.d.config.NodeID, Directing: n.d.Directing(), Preparing: n.d.Preparing()},
-		HeardAt: now,
+		Record:   cluster.Record{ID: n.d.config.NodeID, FailureDomain: n.domain, Processor: n.d.config.Processor},
+		State:    &marbleroadv1.NodeState{Node: n.d.config.NodeID, Directing: n.d.Directing(), Preparing: n.d.Preparing()},
+		LastSeen: now,
 	}
 }
 
--- a/internal/director/duty.go
+++ b/internal/director/duty.go
@@ -34,7 +34,7 @@
 // settled reports whether this node has known the others for long enough to hear who manages what. One
 // that started while the platform was away may have the list of VMs before it.
 func (s *state) settled(now time.Time) bool {
-	known, ok := s.d.parts.Nodes.KnownSince()
+	known, ok := s.d.parts.Nodes.RecordsReadAt()
 	return ok && now.Sub(known) >= settleTime && now.Sub(s.started) >= settleTime
 }
 
@@ -99,7 +99,7 @@
 
 // first reports whether a duty falls to this node among the nodes.
 func (s *state) first(nodes []cluster.Record) bool {
-	return slices.MinFunc(nodes, cluster.FirstForDuty).ID == s.d.config.NodeID
+	return slices.MinFunc(nodes, cluster.CompareForRole).ID == s.d.config.NodeID
 }
 
 func (s *state) self() cluster.Record {
@@ -134,5 +134,5 @@
 		}
 	}
 	s.d.directing.Store(&domains)
-	s.d.parts.Nodes.Nudge()
+	s.d.parts.Nodes.TriggerExchange()
 }
--- a/internal/director/state.go
+++ b/internal/director/state.go
@@ -332,7 +332,7 @@
 		return
 	}
 	s.d.dissolving.Store(&names)
-	s.d.parts.Nodes.Nudge()
+	s.d.parts.Nodes.TriggerExchange()
 }
 
 // tellPreparing publishes for which models groups are being taken apart.
@@ -347,7 +347,7 @@
 		return
 	}
 	s.d.preparing.Store(&models)
-	s.d.parts.Nodes.Nudge()
+	s.d.parts.Nodes.TriggerExchange()
 }
 
 func (s *state) vm(id string) *vmState {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -31,7 +31,7 @@
 // called from any goroutine.
 type Engine interface {
 	// Probe asks the VM what it is. The caller sets SentAt and VM.
-	Probe(ctx context.Context, address string) (presence.Witness, error)
+	Probe(ctx context.Context, address string) (presence.ProbeResult, error)
 	// Assign sends an order. ErrFenced means that the VM refused it.
 	Assign(ctx context.Context, address string, order Order) error
 }
--- a/internal/engine/httpapi/httpapi.go
+++ b/internal/engine/httpapi/httpapi.go
@@ -49,23 +49,23 @@
 var _ engine.Engine = (*Client)(nil)
 
 // Probe implements engine.Engine.
-func (c *Client) Probe(ctx context.Context, address string) (presence.Witness, error) {
+func (c *Client) Probe(ctx context.Context, address string) (presence.ProbeResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+StatusPath, nil)
 	if err != nil {
-		return presence.Witness{}, errors.Wrap(err, "probe")
+		return presence.ProbeResult{}, errors.Wrap(err, "probe")
 	}
 	// An empty agent is left out: probes are most of the bytes of control.
 	req.Header.Set("User-Agent", "")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return presence.Witness{}, errors.Wrap(err, "probe")
+		return presence.ProbeResult{}, errors.Wrap(err, "probe")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var s Status
 	if err := decode(resp, &s); err != nil {
-		return presence.Witness{}, err
+		return presence.ProbeResult{}, err
 	}
-	return presence.Witness{
+	return presence.ProbeResult{
 		Group:      s.Group,
 		Generation: s.Generation,
 		Rank:       s.Rank,
--- a/internal/entry/source.go
+++ b/internal/entry/source.go
@@ -63,7 +63,7 @@
 	peers   *transport.Peers
 	client  *http.Client
 	items   *item.Set
-	board   *presence.Board
+	board   *presence.Registry
 	builder *view.Builder
 	// listener is found by name before the reading goroutine starts.
 	listener viewListener
@@ -101,7 +101,7 @@
 		peers:   peers,
 		client:  peers.Client(),
 		items:   items,
-		board:   presence.NewBoard(),
+		board:   presence.NewRegistry(),
 		builder: view.NewBuilder(c.FailureDomain, items),
 		cursors: make(map[string]item.Cursor),
 
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -59,9 +59,9 @@
 type Nodes interface {
 	Live(now time.Time) []cluster.Peer
 	Size() int
-	// Domain are the nodes of this failure domain, the fittest first and this one included, and
+	// DomainNodes are the nodes of this failure domain, the fittest first and this one included, and
 	// whether the records of all nodes were read.
-	Domain() ([]cluster.Record, bool)
+	DomainNodes() ([]cluster.Record, bool)
 }
 
 // Leader finds the node to follow. It is shared by what is followed.
@@ -183,7 +183,7 @@
 		case b.ID == manager:
 			return 1
 		}
-		return cluster.FirstForDuty(a, b)
+		return cluster.CompareForRole(a, b)
 	})
 	return all[:min(len(all), mostLeaders)]
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -132,9 +132,9 @@
 func (m many) Size() int { return followNodes + 1 }
 
 // Domain is of no node: each reads the whole list.
-func (m many) Domain() ([]cluster.Record, bool) { return nil, true }
+func (m many) DomainNodes() ([]cluster.Record, bool) { return nil, true }
 func (m many) Live(now time.Time) []cluster.Peer {
-	return []cluster.Peer{{Record: m.leader, State: &marbleroadv1.NodeState{}, HeardAt: now}}
+	return []cluster.Peer{{Record: m.leader, State: &marbleroadv1.NodeState{}, LastSeen: now}}
 }
 
 // node is a reader of the list or a follower of one.
@@ -328,8 +328,8 @@
 // groups.
 type domainOf []string
 
-func (d domainOf) Size() int                        { return followNodes + len(d) }
-func (d domainOf) Domain() ([]cluster.Record, bool) { return nil, true }
+func (d domainOf) Size() int                             { return followNodes + len(d) }
+func (d domainOf) DomainNodes() ([]cluster.Record, bool) { return nil, true }
 func (d domainOf) Live(now time.Time) []cluster.Peer {
 	var out []cluster.Peer
 	for _, id := range d {
@@ -338,7 +338,7 @@
 		if manages {
 			state.Directing = []string{"x"}
 		}
-		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x"}, State: state, HeardAt: now})
+		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x"}, State: state, LastSeen: now})
 	}
 	return out
 }
@@ -469,12 +469,12 @@
 // unequal lists live nodes of the failure domain x with their parts of a processor.
 type unequal map[string]float64
 
-func (unequal) Size() int                        { return followNodes + 1 }
-func (unequal) Domain() ([]cluster.Record, bool) { return nil, true }
+func (unequal) Size() int                             { return followNodes + 1 }
+func (unequal) DomainNodes() ([]cluster.Record, bool) { return nil, true }
 func (u unequal) Live(now time.Time) []cluster.Peer {
 	var out []cluster.Peer
 	for id, processor := range u {
-		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x", Processor: processor}, State: &marbleroadv1.NodeState{}, HeardAt: now})
+		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x", Processor: processor}, State: &marbleroadv1.NodeState{}, LastSeen: now})
 	}
 	return out
 }
--- a/internal/feed/firstread.go
+++ b/internal/feed/firstread.go
@@ -165,7 +165,7 @@
 // then read for itself, all would do so at the moment at which the platform is back.
 func (l *Leader) awaitRecords(ctx context.Context) {
 	for end := clock.Now().Add(recordsLimit + rand.N(recordsLimit)); clock.Now().Before(end); wait.Sleep(ctx, recordsPause) {
-		if _, known := l.nodes.Domain(); known || ctx.Err() != nil {
+		if _, known := l.nodes.DomainNodes(); known || ctx.Err() != nil {
 			return
 		}
 	}
@@ -173,14 +173,14 @@
 
 // domain are the nodes of the failure domain, the fittest first.
 func (l *Leader) domain() []cluster.Record {
-	records, _ := l.nodes.Domain()
+	records, _ := l.nodes.DomainNodes()
 	return records
 }
 
 // rank is this node's place among the nodes of its failure domain; false when it reads everything for
 // itself, since there are few nodes or nothing is known of them.
 func (l *Leader) rank() (int, bool) {
-	records, known := l.nodes.Domain()
+	records, known := l.nodes.DomainNodes()
 	if !known || l.nodes.Size() <= followNodes {
 		return 0, false
 	}
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -109,7 +109,7 @@
 func (s started) Size() int                     { return len(s.records) }
 func (s started) Live(time.Time) []cluster.Peer { return nil }
 
-func (s started) Domain() ([]cluster.Record, bool) { return s.records, true }
+func (s started) DomainNodes() ([]cluster.Record, bool) { return s.records, true }
 
 // startSite starts the nodes of one failure domain at the same moment.
 func startSite(t *testing.T, link *narrow, count int) []*node {
--- a/internal/feed/picker_test.go
+++ b/internal/feed/picker_test.go
@@ -30,9 +30,9 @@
 // ranked is a failure domain of these nodes, whose records were read.
 type ranked []cluster.Record
 
-func (r ranked) Size() int                        { return len(r) }
-func (r ranked) Live(time.Time) []cluster.Peer    { return nil }
-func (r ranked) Domain() ([]cluster.Record, bool) { return r, true }
+func (r ranked) Size() int                             { return len(r) }
+func (r ranked) Live(time.Time) []cluster.Peer         { return nil }
+func (r ranked) DomainNodes() ([]cluster.Record, bool) { return r, true }
 func (r ranked) leader(t *testing.T, i int) *Leader {
 	return NewLeader(r[i], r, func() bool { return false }, testLog(t), http.DefaultClient, nil)
 }
@@ -70,7 +70,7 @@
 func (c *cohort) start(leader *Leader, i int) {
 	read := firstRead[string]{of: "test", leader: leader, ask: c.ask,
 		own: func(ctx context.Context) (string, error) { return c.read(ctx, i) }}
-	failing := wait.Backoff{Least: 100 * time.Millisecond, Most: 400 * time.Millisecond}
+	failing := wait.Backoff{Min: 100 * time.Millisecond, Max: 400 * time.Millisecond}
 	for begun := time.Now(); time.Since(begun) < testWait; {
 		if _, err := read.read(context.Background()); err == nil {
 			break
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -118,7 +118,7 @@
 		faults:    make(map[string]string),
 
 		recent:  newRecentChanges(),
-		failing: wait.Backoff{Least: retryPause, Most: mostRetryPause},
+		failing: wait.Backoff{Min: retryPause, Max: mostRetryPause},
 	}
 }
 
@@ -155,7 +155,7 @@
 			d.failed(ctx, asked, err)
 			continue
 		}
-		d.failing.Succeeded()
+		d.failing.Reset()
 		changed = d.expire(clock.Now()) || changed
 		changed = d.leavers.takeNews() || changed
 		d.publish(provenAt, changed)
--- a/internal/groups/eligible.go
+++ b/internal/groups/eligible.go
@@ -31,7 +31,7 @@
 
 // Witnesses looks up a VM's newest witness.
 type Witnesses interface {
-	Get(vm string) (presence.Witness, bool)
+	Get(vm string) (presence.ProbeResult, bool)
 }
 
 // Eligible judges whether the group may get work now: all of its VMs were
--- a/internal/groups/eligible_test.go
+++ b/internal/groups/eligible_test.go
@@ -10,9 +10,9 @@
 	"github.com/marbleroad/marbleroad/internal/presence"
 )
 
-type witnesses map[string]presence.Witness
+type witnesses map[string]presence.ProbeResult
 
-func (w witnesses) Get(vm string) (presence.Witness, bool) {
+func (w witnesses) Get(vm string) (presence.ProbeResult, bool) {
 	one, ok := w[vm]
 	return one, ok
 }
@@ -37,7 +37,7 @@
 		for rank := range size {
 			vm := fmt.Sprintf("vm-%d", rank)
 			p.Assign[vm] = Assignment{Group: g.ID, Rank: rank}
-			w := presence.Witness{VM: vm, Group: g.ID, Generation: 7, Rank: rank, Size: size, Ready: true, SentAt: now}
+			w := presence.ProbeResult{VM: vm, Group: g.ID, Generation: 7, Rank: rank, Size: size, Ready: true, SentAt: now}
 			switch rapid.IntRange(0, 20).Draw(t, "fault") {
 			case 0:
 				want = false
@@ -58,7 +58,7 @@
 			case 7:
 				w.Leaving, want = true, false
 			case 8:
-				w.Gone, want = true, false
+				w.Terminated, want = true, false
 			case 9:
 				w.SentAt, want = now.Add(-window-time.Millisecond), false
 			case 10:
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -149,7 +149,7 @@
 			Quarantined: !r.QuarantinedAt.IsZero(), Left: r.Until().Sub(now)})
 	}
 	for _, p := range s.Cluster.Live(now) {
-		v.Nodes = append(v.Nodes, Node{ID: p.ID, FailureDomain: p.FailureDomain, Age: now.Sub(p.HeardAt),
+		v.Nodes = append(v.Nodes, Node{ID: p.ID, FailureDomain: p.FailureDomain, Age: now.Sub(p.LastSeen),
 			Directing: p.State.GetDirecting(), Stopping: p.State.GetStopping()})
 	}
 	current := s.Keeper.Catalog()
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Witness is one VM's response to a probe.
-type Witness struct {
+// ProbeResult is one VM's response to a probe.
+type ProbeResult struct {
 	VM         string
 	Group      string
 	Generation uint64
@@ -22,8 +22,8 @@
 	Ready bool
 	// Leaving is true when the VM accepts no new work.
 	Leaving bool
-	// Gone is true when the VM's port was closed, which means that its process is not running.
-	Gone bool
+	// Terminated is true when the VM's port was closed, which means that its process is not running.
+	Terminated bool
 	// InFlight and Queued are the engine's load in requests; the report lags behind the actual
 	// load.
 	InFlight int
@@ -34,63 +34,63 @@
 	SentAt time.Time
 }
 
-// Board holds the newest probe result of each VM. Methods may be called from any goroutine.
-type Board struct {
+// Registry holds the newest probe result of each VM. Methods may be called from any goroutine.
+type Registry struct {
 	mu  sync.RWMutex
-	vms map[string]Witness
+	vms map[string]ProbeResult
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board {
-	return &Board{vms: make(map[string]Witness)}
+// NewRegistry returns an empty registry.
+func NewRegistry() *Registry {
+	return &Registry{vms: make(map[string]ProbeResult)}
 }
 
-// Record stores w unless the result of a later probe is already stored.
-func (b *Board) Record(w Witness) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	old, ok := b.vms[w.VM]
-	if ok && !w.SentAt.After(old.SentAt) {
+// Record stores the result unless the result of a later probe is already stored.
+func (r *Registry) Record(result ProbeResult) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	old, ok := r.vms[result.VM]
+	if ok && !result.SentAt.After(old.SentAt) {
 		return
 	}
-	b.vms[w.VM] = w
+	r.vms[result.VM] = result
 }
 
-// Forget removes the VMs whose last probe was sent before the given time.
-func (b *Board) Forget(before time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for vm, w := range b.vms {
-		if w.SentAt.Before(before) {
-			delete(b.vms, vm)
+// RemoveBefore removes the VMs whose last probe was sent before the given time.
+func (r *Registry) RemoveBefore(before time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for vm, result := range r.vms {
+		if result.SentAt.Before(before) {
+			delete(r.vms, vm)
 		}
 	}
 }
 
 // Get returns the VM's newest probe result.
-func (b *Board) Get(vm string) (Witness, bool) {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	w, ok := b.vms[vm]
-	return w, ok
+func (r *Registry) Get(vm string) (ProbeResult, bool) {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	result, ok := r.vms[vm]
+	return result, ok
 }
 
 // Sorted returns the probe results of the VMs that keep accepts, ordered by VM name.
-func (b *Board) Sorted(keep func(vm string) bool) []Witness {
-	b.mu.RLock()
-	out := make([]Witness, 0, len(b.vms))
-	for vm, w := range b.vms {
+func (r *Registry) Sorted(keep func(vm string) bool) []ProbeResult {
+	r.mu.RLock()
+	out := make([]ProbeResult, 0, len(r.vms))
+	for vm, result := range r.vms {
 		if keep(vm) {
-			out = append(out, w)
+			out = append(out, result)
 		}
 	}
-	b.mu.RUnlock()
+	r.mu.RUnlock()
 	sort.Slice(out, func(i, j int) bool { return out[i].VM < out[j].VM })
 	return out
 }
 
 // Fresh reports whether the VM counts as present: it responded to a probe that was sent within the
 // window.
-func (w Witness) Fresh(now time.Time, window time.Duration) bool {
-	return !w.Gone && now.Sub(w.SentAt) <= window
+func (p ProbeResult) Fresh(now time.Time, window time.Duration) bool {
+	return !p.Terminated && now.Sub(p.SentAt) <= window
 }
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -103,7 +103,7 @@
 func (a *Archive) readLoop(ctx context.Context) {
 	var revision uint64
 	known := false
-	failing := wait.Backoff{Least: archiveRetry, Most: mostArchiveRetry}
+	failing := wait.Backoff{Min: archiveRetry, Max: mostArchiveRetry}
 	for first := true; ctx.Err() == nil; {
 		if !first && !a.reads() {
 			known = false
@@ -126,7 +126,7 @@
 			continue
 		}
 		first, known, revision, a.failed = false, true, next, false
-		failing.Succeeded()
+		failing.Reset()
 		for _, o := range objects {
 			if _, err := a.take(o); err != nil {
 				a.fails(ctx, err)
@@ -165,7 +165,7 @@
 // writeLoop writes what this node has learned at first hand at once, and what others have and the
 // store lacks after a while.
 func (a *Archive) writeLoop(ctx context.Context) {
-	failing := wait.Backoff{Least: archiveRetry, Most: mostArchiveRetry}
+	failing := wait.Backoff{Min: archiveRetry, Max: mostArchiveRetry}
 	for ctx.Err() == nil {
 		urgent := a.awaitWork(ctx)
 		digest := a.table.Digest(a.now())
@@ -180,7 +180,7 @@
 			}
 			continue
 		}
-		failing.Succeeded()
+		failing.Reset()
 	}
 }
 
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -44,10 +44,10 @@
 	return &Gossip{table: table, log: log, peers: make(map[string]*told)}
 }
 
-// Ask implements cluster.Quarantine. Where all nodes call each other, relay is false: what a node
+// NewRequest implements cluster.Quarantine. Where all nodes call each other, relay is false: what a node
 // saw it tells all others itself. With relays one of eight nodes told 10,455 records of 800 ends in
 // place of 1,365.
-func (g *Gossip) Ask(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews {
+func (g *Gossip) NewRequest(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
@@ -56,8 +56,8 @@
 	return g.news(now, p, records, p.differs)
 }
 
-// Asked implements cluster.Quarantine.
-func (g *Gossip) Asked(asked time.Time, peer string, news *marbleroadv1.QuarantineNews) {
+// HandleResponse implements cluster.Quarantine.
+func (g *Gossip) HandleResponse(asked time.Time, peer string, news *marbleroadv1.QuarantineNews) {
 	g.hear(asked, peer, news)
 	digest := g.table.Digest(asked)
 	g.mu.Lock()
@@ -67,8 +67,8 @@
 	p.differs = news != nil && news.GetDigest() != digest
 }
 
-// Answer implements cluster.Quarantine.
-func (g *Gossip) Answer(now time.Time, peer string, member bool, news *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
+// HandleRequest implements cluster.Quarantine.
+func (g *Gossip) HandleRequest(now time.Time, peer string, member bool, news *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
 	g.hear(now, peer, news)
 	differs := news.GetDigest() != g.table.Digest(now)
 	g.mu.Lock()
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -359,7 +359,7 @@
 	}
 }
 
-func plainUsable(s *Snapshot, seen presence.Witness, now time.Time, window time.Duration) bool {
+func plainUsable(s *Snapshot, seen presence.ProbeResult, now time.Time, window time.Duration) bool {
 	return seen.Fresh(now, window) && seen.Ready && !seen.Leaving && !s.Leaving[seen.VM]
 }
 
--- a/internal/wait/backoff.go
+++ b/internal/wait/backoff.go
@@ -9,21 +9,21 @@
 // twice the previous one, up to a bound, and random within a factor of two, so that many processes
 // that failed together don't retry together.
 type Backoff struct {
-	Least, Most time.Duration
-	failures    int
+	Min, Max time.Duration
+	failures int
 }
 
 // Next returns the pause before the next attempt.
 func (b *Backoff) Next() time.Duration {
-	pause := b.Least
+	pause := b.Min
 	for range b.failures {
-		pause = min(2*pause, b.Most)
+		pause = min(2*pause, b.Max)
 	}
-	if pause < b.Most {
+	if pause < b.Max {
 		b.failures++
 	}
 	return pause + rand.N(pause)
 }
 
-// Succeeded resets the pauses to the shortest one.
-func (b *Backoff) Succeeded() { b.failures = 0 }
+// Reset resets the pauses to the shortest one.
+func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -44,7 +44,7 @@
 
 // WitnessTable encodes witnesses, which must be in the order of their VMs'
 // names. Ages count at now. The full list is left out when known is its epoch.
-func WitnessTable(all []presence.Witness, now time.Time, known uint64) *marbleroadv1.WitnessTable {
+func WitnessTable(all []presence.ProbeResult, now time.Time, known uint64) *marbleroadv1.WitnessTable {
 	out := &marbleroadv1.WitnessTable{
 		Epoch:    epochOf(all),
 		Ages:     make([]uint32, len(all)),
@@ -71,7 +71,7 @@
 	return uint32(min(int64(units), math.MaxUint32))
 }
 
-func witnessMessage(w presence.Witness) *marbleroadv1.Witness {
+func witnessMessage(w presence.ProbeResult) *marbleroadv1.Witness {
 	return &marbleroadv1.Witness{
 		Vm:         w.VM,
 		Group:      w.Group,
@@ -82,13 +82,13 @@
 		Ready:      w.Ready,
 		Leaving:    w.Leaving,
 		Slots:      uint32(w.Slots),
-		Gone:       w.Gone,
+		Gone:       w.Terminated,
 	}
 }
 
 // epochOf hashes what the full list holds. It is never zero, the requester's
 // word for knowing none.
-func epochOf(all []presence.Witness) uint64 {
+func epochOf(all []presence.ProbeResult) uint64 {
 	d := xxhash.New()
 	var number [8]byte
 	add := func(n uint64) {
@@ -114,7 +114,7 @@
 		add(uint64(w.Slots))
 		flag(w.Ready)
 		flag(w.Leaving)
-		flag(w.Gone)
+		flag(w.Terminated)
 	}
 	return max(d.Sum64(), 1)
 }
@@ -134,7 +134,7 @@
 // Read decodes a table. asked is when the request that the table answers was
 // sent: a probe was sent no earlier than its age before that, so counting back
 // from asked never makes a witness look fresher than it is.
-func (r *WitnessReader) Read(m *marbleroadv1.WitnessTable, asked time.Time) ([]presence.Witness, error) {
+func (r *WitnessReader) Read(m *marbleroadv1.WitnessTable, asked time.Time) ([]presence.ProbeResult, error) {
 	if m == nil {
 		return nil, nil
 	}
@@ -148,9 +148,9 @@
 		r.full = nil
 		return nil, errors.Wrapf(ErrTable, "%d ages for %d VMs", len(m.GetAges()), n)
 	}
-	out := make([]presence.Witness, n)
+	out := make([]presence.ProbeResult, n)
 	for i, w := range r.full {
-		out[i] = presence.Witness{
+		out[i] = presence.ProbeResult{
 			VM:         w.GetVm(),
 			Group:      w.GetGroup(),
 			Generation: w.GetGeneration(),
@@ -159,7 +159,7 @@
 			Fence:      w.GetFence(),
 			Ready:      w.GetReady(),
 			Leaving:    w.GetLeaving(),
-			Gone:       w.GetGone(),
+			Terminated: w.GetGone(),
 			InFlight:   int(m.GetInFlight()[i]),
 			Queued:     int(m.GetQueued()[i]),
 			Slots:      int(w.GetSlots()),
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,9 +19,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		reader := &WitnessReader{}
-		var all []presence.Witness
+		var all []presence.ProbeResult
 		for i := range rapid.IntRange(0, 5).Draw(t, "vms") {
-			all = append(all, presence.Witness{VM: fmt.Sprint("vm-", i), SentAt: now})
+			all = append(all, presence.ProbeResult{VM: fmt.Sprint("vm-", i), SentAt: now})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
@@ -32,7 +32,7 @@
 				w.Group = rapid.SampledFrom([]string{"", "g-0", "g-1"}).Draw(t, "group")
 				w.Generation = rapid.Uint64Range(0, 3).Draw(t, "generation")
 				w.Ready = rapid.Bool().Draw(t, "ready")
-				w.Gone = rapid.Bool().Draw(t, "gone")
+				w.Terminated = rapid.Bool().Draw(t, "gone")
 				w.InFlight = rapid.IntRange(0, 100).Draw(t, "in flight")
 				w.SentAt = now
 			},
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -126,7 +126,7 @@
 mutant "followers press a store that is away" internal/feed/feed.go \
   's/if now\.Before\(o\.quietUntil\) && /if false \&\& /' ./internal/feed TestFollowersLeaveADeadStoreToTheirLeaders
 mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
-  's/\t\t\tp\.State, p\.HeardAt = state, now\n//; s/maxKnownNodes: c\.maxKnownNodes, //' ./internal/cluster TestNodesThatCountDifferently
+  's/\t\t\tp\.State, p\.LastSeen = state, now\n//; s/maxKnownNodes: c\.maxKnownNodes, //' ./internal/cluster TestNodesThatCountDifferently
 mutant "a group whose head has not reported yet is broken up" internal/director/dissolve.go \
   's/case w\.headVM == nil && now\.Sub\(w\.firstSeen\) <= orphanAfter:.*?\t\treturn\n//s' ./internal/director TestGroupWhoseHeadHasNotReported
 mutant "a group that is whole again counts as short" internal/director/watch.go \
@@ -338,9 +338,9 @@
 mutant "a list is given only while its proof is young" internal/fleet/recent.go \
   's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
 mutant "duties fall to the first by ID" internal/cluster/topology.go \
-  's/func FirstForDuty\(a, b Record\) int \{/func FirstForDuty(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
+  's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
 mutant "the first by ID are followed" internal/cluster/topology.go \
-  's/func FirstForDuty\(a, b Record\) int \{/func FirstForDuty(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/feed TestWeakNodesAreNotFollowed
+  's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/feed TestWeakNodesAreNotFollowed
 mutant "an answer is bounded as a whole" internal/transport/progress.go \
   's/if p\.timer\.Stop\(\) \{/if false {/' ./platform TestAnswerThatKeepsComingIsReadToItsEnd
 mutant "an answer that creeps is never given up" internal/transport/progress.go \
