--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -33,8 +33,8 @@
 const ServiceName = "cluster"
 
 const (
-	// shareTimeout bounds one exchange; it is well above a round trip between failure domains (3
-	// ms).
+	// shareTimeout bounds one exchange; it is well above a round trip between failure
+	// domains (3 ms).
 	shareTimeout = 600 * time.Millisecond
 	// liveIntervals is the number of intervals, plus a timeout, for which a node counts as live
 	// after an exchange with it was sent.
