--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -62,12 +62,12 @@
 // Fleet provides the snapshot of the upstream VMs; nil before the first one is read.
 type Fleet interface{ Snapshot() *fleet.Snapshot }
 
-// Nodes provides the live nodes. Nudge sends this node's state to them immediately.
+// Nodes provides the live nodes. TriggerExchange sends this node's state to them immediately.
 type Nodes interface {
 	Live(now time.Time) []cluster.Peer
-	Nudge()
-	// KnownSince returns when the records of all nodes were first read; false before that.
-	KnownSince() (time.Time, bool)
+	TriggerExchange()
+	// RecordsReadAt returns when the records of all nodes were first read; false before that.
+	RecordsReadAt() (time.Time, bool)
 }
 
 // Parts holds the director's dependencies.
--- a/internal/director/duty.go
+++ b/internal/director/duty.go
@@ -35,7 +35,7 @@
 // received which of them manages which failure domain. A node that started while the platform
 // was unreachable may receive the list of VMs before the records of the other nodes.
 func (s *state) stabilized(now time.Time) bool {
-	known, ok := s.d.parts.Nodes.KnownSince()
+	known, ok := s.d.parts.Nodes.RecordsReadAt()
 	return ok && now.Sub(known) >= stabilizationTime && now.Sub(s.started) >= stabilizationTime
 }
 
@@ -106,7 +106,7 @@
 
 // isPreferred reports whether this node is the preferred one among nodes to manage groups.
 func (s *state) isPreferred(nodes []cluster.Record) bool {
-	return slices.MinFunc(nodes, cluster.FirstForDuty).ID == s.d.config.NodeID
+	return slices.MinFunc(nodes, cluster.CompareForRole).ID == s.d.config.NodeID
 }
 
 func (s *state) localRecord() cluster.Record {
