--- a/internal/cluster/answer_test.go
+++ b/internal/cluster/answer_test.go
@@ -84,12 +84,12 @@
 func TestMovedMemberCountsAtOneHub(t *testing.T) {
 	c, _ := newHub(t)
 	now := time.Now()
-	silent := 0
+	idle := 0
 	for id, m := range c.members {
 		if id != "member-0" {
 			m.asOf = now.Add(-4 * testInterval)
 			c.members[id] = m
-			silent++
+			idle++
 		}
 	}
 	state := c.outgoingState(now, "", false)
@@ -98,6 +98,6 @@
 		total += l.GetInFlight()
 	}
 	if want := uint32(3 * 2 * loadsPerNode); total != want {
-		t.Errorf("%d requests in flight are reported, %d of them of %d members that have sent nothing for four intervals", total, total-want, silent)
+		t.Errorf("%d requests in flight are reported, %d of them of %d members that have sent nothing for four intervals", total, total-want, idle)
 	}
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -36,8 +36,8 @@
 	// shareTimeout bounds one exchange; it is well above a round trip between failure
 	// domains (3 ms).
 	shareTimeout = 600 * time.Millisecond
-	// liveIntervals is the number of intervals, plus a timeout, for which a node counts as live
-	// after an exchange with it was sent.
+	// liveIntervals is the number of exchange intervals for which a node counts as live after it was
+	// last seen; shareTimeout is added.
 	liveIntervals = 3
 	// memberLoadIntervals is the number of intervals after a member's last call for which its hub
 	// counts the member's in-flight requests. After that the member has died or calls another hub.
@@ -80,8 +80,8 @@
 // StateSource returns the state that this node shares. Each call returns a new message.
 type StateSource func() *marbleroadv1.NodeState
 
-// PeerFunc handles a received state that dates from the time asOf. A hub's state may be the
-// aggregate of many nodes' states.
+// PeerFunc handles a received state that dates from the time asOf. The state of a hub is the
+// aggregate of its members' states; the total of several hubs has the node ID "/others".
 type PeerFunc func(state *marbleroadv1.NodeState, asOf time.Time)
 
 // Quarantine supplies and processes the quarantine updates that each exchange also carries.
@@ -124,7 +124,8 @@
 	// quarantine is nil if exchanges carry no quarantine updates.
 	quarantine Quarantine
 
-	// recordsAt is when the nodes' records were first read; nil before that.
+	// recordsAt is when the nodes' records were first read while this node's own was among them;
+	// nil before that.
 	recordsAt atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
@@ -166,7 +167,8 @@
 	cancel  context.CancelFunc
 }
 
-// New returns a cluster that consists of this node only; it grows as the store's records are read.
+// New returns a cluster that consists of this node only. Nodes are added when their records are
+// read from the store, when they call this node and when other nodes report them.
 func New(c Config, log *event.Logger, store platform.ObjectStore, peers *transport.Peers, state StateSource) *Cluster {
 	out := newCluster(c, log, store, newRPCLink(peers), state)
 	out.peers = peers
@@ -189,8 +191,8 @@
 	}
 }
 
-// OnPeer registers a function that is called with each received state. It must be called before
-// Start.
+// OnPeer registers a function that is called with each state that a call or a response carries, but
+// not with the states of leading nodes that such a state lists. It must be called before Start.
 func (c *Cluster) OnPeer(f PeerFunc) { c.onPeer = append(c.onPeer, f) }
 
 // ServeFeed makes the cluster serve followers from f. It must be called before Start.
@@ -243,8 +245,8 @@
 	return c.livenessTimeout()
 }
 
-// livenessTimeout implements LivenessTimeout. With hubs, a state passes through two of them. It is
-// called with mu held.
+// livenessTimeout implements LivenessTimeout. With hubs, a state passes from a member to its hub and
+// on to another hub, so the intervals of both exchanges count. It is called with mu held.
 func (c *Cluster) livenessTimeout() time.Duration {
 	if c.topology.flat() {
 		return liveIntervals*c.meshInterval() + shareTimeout
@@ -265,7 +267,7 @@
 // memberInterval returns the time between two exchanges of a member with its hub. It is called with
 // mu held.
 func (c *Cluster) memberInterval() time.Duration {
-	const baseMembers = hubsPerDomain * maxMembersPerHub
+	const baseMembers = hubsPerDomain * baseMembersPerHub
 	return c.config.Interval * time.Duration(max(c.topology.localNodes, baseMembers)) / baseMembers
 }
 
@@ -296,7 +298,8 @@
 }
 
 // DomainNodes returns the nodes of this failure domain, this one included and the preferred hubs
-// first, and whether the nodes' records have been read.
+// first, without those that have been unreachable for long, and whether the nodes' records have been
+// read.
 func (c *Cluster) DomainNodes() ([]Record, bool) {
 	if c.recordsAt.Load() == nil {
 		return nil, false
@@ -306,7 +309,9 @@
 	return c.topology.domainNodes(c.config.Self.FailureDomain), true
 }
 
-// RecordsReadAt returns when the nodes' records were first read, and false before that.
+// RecordsReadAt returns when the nodes' records were first read while this node's own was among
+// them, and false before that. Nodes that start together register together, so an earlier reading
+// may lack some.
 func (c *Cluster) RecordsReadAt() (time.Time, bool) {
 	if at := c.recordsAt.Load(); at != nil {
 		return *at, true
@@ -314,7 +319,8 @@
 	return time.Time{}, false
 }
 
-// Size returns the number of nodes that are or may be in use, this one included.
+// Size returns the number of known nodes, this one included, or the largest number that another
+// node has reported if that is larger. Nodes that are unreachable or have terminated count too.
 func (c *Cluster) Size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/quarantine_test.go
+++ b/internal/cluster/quarantine_test.go
@@ -13,6 +13,7 @@
 // upstreams in quarantine: the shortest time for which a site may let nodes count as connected.
 const propagationBound = 3 * time.Second
 
+// quarantines reports whether the node has a request in quarantine.
 func (n *testNode) quarantines(f quarantine.Fingerprint) bool {
 	return n.suspects.Judge(time.Now(), f).Quarantined > 0
 }
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// startExchanger starts to exchange with a node. It is called with mu held.
+// startExchanger starts the loop that exchanges with a node, and registers it in exchangers. It is
+// called with mu held.
 func (c *Cluster) startExchanger(p *peer) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	s := &exchanger{trigger: make(chan struct{}, 1), cancel: cancel}
@@ -94,6 +95,7 @@
 	go c.runExchanger(ctx, p, s)
 }
 
+// runExchanger exchanges with a node after each interval, or at once when triggered, until ctx ends.
 func (c *Cluster) runExchanger(ctx context.Context, p *peer, s *exchanger) {
 	defer c.done.Done()
 	defer s.cancel()
@@ -184,10 +186,12 @@
 	return aggregate(ownState, members, c.leaderCandidates(now), requester, now)
 }
 
-// leaderCandidates returns the live nodes whose leadership must be passed on: this node's members
-// and, while nodes differ in how many nodes they count, the nodes that it receives states from
-// directly. Without the latter, a node that was added took a failure domain's groups for unmanaged
-// in 64 of 150 runs. It is called with mu held.
+// leaderCandidates returns the states from which the leading nodes to pass on are chosen: those of
+// this node's members and those of other live nodes, except hubs, that are in its failure domain or
+// manage groups. The latter are needed while nodes know different numbers of nodes, so that some
+// use hubs and others exchange with all nodes. Without them, a node that was added did not receive
+// which node managed its failure domain's groups, in 64 of 150 runs, and managed them too. It is
+// called with mu held.
 func (c *Cluster) leaderCandidates(now time.Time) []receivedState {
 	livenessTimeout := c.livenessTimeout()
 	var out []receivedState
@@ -206,8 +210,8 @@
 	return out
 }
 
-// recordFailure records a failed exchange: another node is chosen as a hub, and a node not seen for
-// the liveness timeout counts as lost.
+// recordFailure records a failed exchange with a node: the node is not chosen as a hub for a time,
+// and it counts as lost if it was last seen longer ago than the liveness timeout.
 func (c *Cluster) recordFailure(ctx context.Context, p *peer, err error) {
 	if ctx.Err() != nil {
 		return
@@ -316,9 +320,9 @@
 	return out
 }
 
-// recordCaller records that a node called: as a member it is aggregated here, and any other node is
-// reachable again. It reports whether the state holds an update that the other hubs must receive at
-// once, and whether this node becomes a hub through the call.
+// recordCaller records a call from a node. The state of a member is stored for this node's aggregate;
+// any other node is marked as reachable. recordCaller reports whether the state holds an update that
+// the other hubs must receive at once, and whether this node becomes a hub because of the call.
 func (c *Cluster) recordCaller(state *marbleroadv1.NodeState, now time.Time) (urgent, becomesHub bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/sharing_test.go
+++ b/internal/cluster/sharing_test.go
@@ -12,8 +12,10 @@
 	"github.com/marbleroad/marbleroad/internal/backpressure"
 )
 
-// Bounds on the requests that a VM with a limit receives: in any window limitFactor times the limit
-// plus limitExtra requests, once limitGrace has passed.
+// Bounds on the requests that a VM with a limit receives. Any window of length limitWindow that
+// starts at least limitGrace after the first requests may hold at most limitFactor times the
+// requests that the limit allows in it, plus limitExtra. Until limitGrace has passed the nodes may
+// exceed the bound.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
--- a/internal/cluster/sum.go
+++ b/internal/cluster/sum.go
@@ -147,8 +147,9 @@
 // carry them.
 const maxUrgentConditions = 32
 
-// conditionsDiffer reports whether a state has the condition of an upstream VM that the previous
-// one did not have, or of one that started or stopped reporting a limit, or that is leaving.
+// conditionsDiffer reports whether the new state has the condition of an upstream VM that the old
+// state lacks, or in which the VM started or stopped reporting a limit or changed whether it is
+// leaving.
 func conditionsDiffer(old, next *marbleroadv1.NodeState) bool {
 	if len(next.GetConditions()) > maxUrgentConditions {
 		return false
--- a/internal/cluster/topology.go
+++ b/internal/cluster/topology.go
@@ -17,9 +17,10 @@
 	// hubsPerDomain is the number of hubs of each failure domain. With two, the loss of one costs
 	// half of its members one failed exchange.
 	hubsPerDomain = 2
-	// maxMembersPerHub is the number of members that a hub serves at the configured interval: 32
-	// members at 300 ms make about a hundred exchanges a second.
-	maxMembersPerHub = 32
+	// baseMembersPerHub is the largest number of members that a hub serves at the configured
+	// interval: 32 members at 300 ms make about a hundred exchanges a second. With more, the
+	// members' interval grows in proportion.
+	baseMembersPerHub = 32
 	// maxHubCandidates is the number of nodes of a failure domain from which its hubs are chosen,
 	// so that a node that is itself partitioned does not try all others.
 	maxHubCandidates = 4
@@ -28,7 +29,7 @@
 // topology holds the input for the choice of the nodes to exchange with. Its methods are pure.
 type topology struct {
 	self Record
-	// others are the other nodes that may be in use.
+	// others are the other known nodes, reachable or not.
 	others []Record
 	// maxKnownNodes is the largest number of nodes that any node counts: all nodes must make the
 	// same choice between a full mesh and hubs.
@@ -82,7 +83,8 @@
 	return all[:min(len(all), maxHubCandidates)]
 }
 
-// domainNodes returns the nodes of a failure domain, the preferred hubs first.
+// domainNodes returns the nodes of a failure domain, the preferred hubs first, without the
+// unreachable ones.
 func (t topology) domainNodes(domain string) []Record {
 	var out []Record
 	if t.self.FailureDomain == domain {
