--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// ProbeResult is one VM's response to a probe.
+// ProbeResult is the result of one probe of a VM: what the VM responded, or that its port was
+// closed.
 type ProbeResult struct {
 	VM         string
 	Group      string
@@ -45,7 +46,8 @@
 	return &Registry{vms: make(map[string]ProbeResult)}
 }
 
-// Record stores the result unless the result of a later probe is already stored.
+// Record stores the result, unless the stored one is of a probe that was sent later or at the same
+// time.
 func (r *Registry) Record(result ProbeResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +58,8 @@
 	r.vms[result.VM] = result
 }
 
-// RemoveBefore removes the VMs whose last probe was sent before the given time.
+// RemoveBefore removes the VMs whose newest result is of a probe that was sent before the given
+// time.
 func (r *Registry) RemoveBefore(before time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +70,7 @@
 	}
 }
 
-// Get returns the VM's newest probe result.
+// Get returns the VM's newest probe result, and false if there is none.
 func (r *Registry) Get(vm string) (ProbeResult, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -89,8 +92,8 @@
 	return out
 }
 
-// Fresh reports whether the VM counts as present: it responded to a probe that was sent within the
-// window.
+// Fresh reports whether the VM counts as present: this result is a response to a probe that was sent
+// within the window that ends now.
 func (p ProbeResult) Fresh(now time.Time, window time.Duration) bool {
 	return !p.Terminated && now.Sub(p.SentAt) <= window
 }
