--- a/internal/item/item.go
+++ b/internal/item/item.go
@@ -13,7 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key prefixes of the items, by kind.
+// Key prefixes of the items, by kind. MembersPrefix is followed by the failure domain whose VMs the
+// list holds, PlanPrefix and DrainPrefix by the failure domain and a slash.
 const (
 	TablePrefix   = "table/"
 	PlanPrefix    = "plan/"
@@ -29,12 +30,14 @@
 	Value   []byte
 }
 
-// Cursor is a position in one Set's change log.
+// Cursor is a position in one Set's change log: the incarnation of the Set and the sequence number of
+// a change.
 type Cursor struct {
 	Incarnation uint64
 	Sequence    uint64
 }
 
+// entry is an item and the sequence number of the change that stored it.
 type entry struct {
 	item     Item
 	sequence uint64
@@ -97,15 +100,15 @@
 	return out
 }
 
-// Digest returns a hash over the keys and versions of the table rows. Equal
-// digests mean equal tables, up to 64-bit collisions.
+// Digest returns a hash over the keys and versions of the table rows. Equal digests mean equal
+// tables, up to 64-bit collisions.
 func (s *Set) Digest() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.digest
 }
 
-// Sequence returns the number of changes adopted so far.
+// Sequence returns the number of changes adopted so far. While it stays the same, the items do.
 func (s *Set) Sequence() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -143,6 +146,7 @@
 	return out, next
 }
 
+// hash returns a hash of the item's key and version.
 func hash(it Item) uint64 {
 	var version [8]byte
 	for i := range version {
