--- a/internal/wait/backoff.go
+++ b/internal/wait/backoff.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Backoff computes the pauses between attempts at an operation that fails: each pause is about
-// twice the previous one, up to a bound, and random within a factor of two, so that many processes
-// that failed together don't retry together.
+// Backoff computes the pauses between attempts at an operation that fails. The base of the pauses
+// starts at Min and doubles with each pause up to Max. Each pause is the base plus a random extra of
+// less than the base, so pauses reach almost twice Max. The extra keeps many processes that failed
+// together from retrying together. Backoff must not be used by several goroutines at once.
 type Backoff struct {
 	Min, Max time.Duration
 	failures int
@@ -25,5 +26,5 @@
 	return pause + rand.N(pause)
 }
 
-// Reset resets the pauses to the shortest one.
+// Reset makes the next pause start from Min again. It is called after a success.
 func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -21,13 +21,14 @@
 	l.done.Go(func() { f(ctx) })
 }
 
-// Stop cancels the function's context and waits for the function to return.
+// Stop cancels the function's context and waits for the function to return. It must not be called
+// before Start.
 func (l *Loop) Stop() {
 	l.cancel()
 	l.done.Wait()
 }
 
-// Sleep waits for d. It returns false if ctx was canceled first.
+// Sleep waits for d and returns true, or returns false as soon as ctx is canceled.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
