--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -40,17 +40,17 @@
 }
 
 mutant "a VM not seen within the window counts as present" internal/groups/eligible.go \
-  's/case !ok \|\| !seen\.Fresh\(now, window\):/case !ok:/' ./internal/groups TestEligibleAgainstOracle
+  's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/' ./internal/groups TestEligibleAgainstOracle
 mutant "the same, with real processes, and the entry trusts it for ever" internal/groups/eligible.go \
-  's/case !ok \|\| !seen\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.Until\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
+  's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.Until\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
 mutant "a VM's word about its group is not asked for" internal/groups/eligible.go \
-  's/case seen\.Group != g\.ID[^:]*:/case false:/' ./internal/groups TestEligibleAgainstOracle
+  's/case probe\.Group != g\.ID[^:]*:/case false:/' ./internal/groups TestEligibleAgainstOracle
 mutant "a VM still in a group is taken as a spare" internal/groups/decide.go \
-  's/ \|\| vm\.Group != ""//' ./internal/groups TestPlanStaysSound
+  's/ \|\| vm\.Group != ""//' ./internal/groups TestPlanKeepsInvariants
 mutant "a changed group keeps its generation" internal/groups/decide.go \
-  's/g\.Generation = d\.next\.Version/_ = g/' ./internal/groups TestPlanStaysSound
+  's/g\.Generation = d\.next\.Version/_ = g/' ./internal/groups TestPlanKeepsInvariants
 mutant "a lost VM is replaced without a grace time" internal/groups/decide.go \
-  's/return len\(inc\.lost\) == 0 \|\| inc\.shortest >= d\.in\.Estimates\.Grace/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
+  's/return len\(inc\.lost\) == 0 \|\| inc\.shortestMissing >= d\.in\.Estimates\.GracePeriod/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
 mutant "an older version is adopted" internal/item/item.go \
   's/if ok && old\.item\.Version >= it\.Version \{/if false {/' ./internal/item TestNeverReverts
 mutant "a deleted row stays in force" internal/view/view.go \
@@ -98,9 +98,9 @@
 mutant "requests at a former life are waited for" internal/gateway/board.go \
   's/s\.cancel\(errStartedAgain\)/_ = s/' ./internal/gateway TestRequestsOfAFormerLifeEnd
 mutant "an older entry counts" internal/fleet/directory.go \
-  's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderWordChangesNothing
+  's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderEntryChangesNothing
 mutant "a faulty entry is passed over" internal/fleet/directory.go \
-  's/return d\.drop\(id\)\n\}\n\n\/\/ older/return false\n}\n\n\/\/ older/' ./internal/fleet TestFaultyEntryNamesNoVM
+  's/return d\.drop\(id\)\n\}\n\n\/\/ isOlder/return false\n}\n\n\/\/ isOlder/' ./internal/fleet TestInvalidEntryDropsVM
 mutant "an unknown state is in service" platform/entry.go \
   's/\(\*e\.State != stateReady && \*e\.State != stateDraining\)/false/' ./platform TestEntriesOfOtherWriters
 mutant "a place in a group has no bound" platform/entry.go \
@@ -196,7 +196,7 @@
 mutant "the target is cleaned" internal/relay/sender.go \
   's/err == nil && u\.RequestURI\(\) == path && u\.Host == address/err == nil/' ./internal/gateway TestTargetAndHeaders
 mutant "VMs of an outage are gone at once" internal/fleet/outage.go \
-  's/return now\.Before\(o\.keepUntil\)/return false/' ./internal/fleet TestMissingAfterOutage
+  's/return now\.Before\(o\.retainUntil\)/return false/' ./internal/fleet TestMissingAfterOutage
 mutant "a VM joins though it is in another group" internal/director/groups.go \
   's/m\.Group != f\.name && !s\.released\(m\.Group\)/false/' ./internal/director TestMemberInAnotherGroup
 mutant "members of a silent head are free after the stall bound" internal/director/dissolve.go \
@@ -238,15 +238,15 @@
 mutant "a stale connection is a failure" internal/relay/sender.go \
   's/return w\.reused \&\& /return false \&\& /' ./internal/relay TestStaleConnectionIsReplaced
 mutant "missing entries are kept from the first answer on" internal/fleet/outage.go \
-  's/o\.keepUntil = o\.failedAt\.Add/o.keepUntil = time.Now().Add/; s/returnTime \+ probeInterval/2500 * time.Millisecond/' ./internal/fleet 'TestVMThatLeavesAfterAnOutage|TestVMThatLapsedAndStaysAway'
+  's/o\.retainUntil = o\.failedAt\.Add/o.retainUntil = time.Now().Add/; s/recoveryTime \+ probeInterval/2500 * time.Millisecond/' ./internal/fleet 'TestVMThatLeavesAfterAnOutage|TestExpiredEntryThatStaysMissing'
 mutant "the first watch after an outage waits for news" internal/fleet/directory.go \
-  's/if d\.lost \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/fleet 'TestLapsedEntryIsKept|TestVMThatLapsedAndStaysAway'
+  's/if d\.disconnected \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/fleet 'TestExpiredEntryIsRetained|TestExpiredEntryThatStaysMissing'
 mutant "missing VMs are looked at when a watch ends" internal/fleet/directory.go \
-  's/if len\(d\.missing\) == 0 \{\n\t\treturn most/if true {\n\t\treturn most/' ./internal/fleet TestVMThatLapsedAndStaysAway
+  's/if len\(d\.missing\) == 0 \{\n\t\treturn limit/if true {\n\t\treturn limit/' ./internal/fleet TestExpiredEntryThatStaysMissing
 mutant "a watch of the list waits for three seconds" internal/fleet/directory.go \
-  's/const WatchWait = 1500 \* time\.Millisecond/const WatchWait = 3 * time.Second/' ./internal/fleet TestVMThatLeavesDuringAShortCut
+  's/const WatchWait = 1500 \* time\.Millisecond/const WatchWait = 3 * time.Second/' ./internal/fleet TestVMThatLeavesAfterAShortPartition
 mutant "a follower keeps missing entries once more" internal/fleet/directory.go \
-  's/case c\.Removed \&\& relayed:/case false:/' ./internal/fleet TestRelayedRemovalIsTakenAtOnce
+  's/case c\.Removed \&\& relayed:/case false:/' ./internal/fleet TestRelayedRemovalTakesEffectAtOnce
 mutant "silent connections to the store are tried in turn" platform/store.go \
   's/s\.http\.CloseIdleConnections\(\)//g' ./platform TestSilentConnectionsAreLeftTogether
 mutant "a length beside chunks is taken" internal/gateway/framing.go \
@@ -256,7 +256,7 @@
 mutant "silent nodes count until another is heard" internal/gateway/choose.go \
   's/b\.forgetSilentPeers\(now\)//' ./internal/gateway TestNodesThatFellSilentDontFillHeads
 mutant "free VMs are never kept" internal/placement/placement.go \
-  's/if !ok \|\| d\.keepFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
+  's/if !ok \|\| d\.reserveFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
 
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestCrowdGetsItsAnswersInTime
@@ -336,7 +336,7 @@
 mutant "what came since an old list is left out" internal/feed/fleet.go \
   's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestSourceOutOfTouchStillHelps
 mutant "a list is given only while its proof is young" internal/fleet/recent.go \
-  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
+  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.VerifiedAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
 mutant "duties fall to the first by ID" internal/cluster/topology.go \
   's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
 mutant "the first by ID are followed" internal/cluster/topology.go \
@@ -366,7 +366,7 @@
 mutant "a restart is the beginning" internal/director/place.go \
   's/ && !s\.servedDomains\[domain\]//' ./internal/director TestMassRestartLimitsLoads
 mutant "copies ahead have no end" internal/placement/copies.go \
-  's/aheadGroups = 2/aheadGroups = 1000/' ./internal/placement TestCopiesAheadAreBounded
+  's/prefetchGroups = 2/prefetchGroups = 1000/' ./internal/placement TestPrefetchedCopiesAreBounded
 mutant "a member counts as long as it lives" internal/cluster/share.go \
   's/memberLoadIntervals\*c\.memberInterval\(\)/c.livenessTimeout()/' ./internal/cluster TestMovedMemberCountsAtOneHub
 mutant "a hub names its own groups apart" internal/cluster/share.go \
@@ -374,7 +374,7 @@
 mutant "each answer is judged by itself" internal/director/state.go \
   's/if !s\.reconcilePending \{/if true {/' ./internal/director TestResponsesOfManyVMsAreEvaluatedTogether
 mutant "all VMs get copies before the first callers" internal/placement/copies.go \
-  's/aheadMost = 128/aheadMost = 1 << 20/' ./internal/placement TestCopiesAheadAreBounded
+  's/maxEarlyPrefetch = 128/maxEarlyPrefetch = 1 << 20/' ./internal/placement TestPrefetchedCopiesAreBounded
 mutant "what was planned loads on when callers come" internal/director/groups.go \
   's/s\.mayJoin\(vm, f\) && //' ./internal/director TestTrafficBeforeFirstLoadsLimitsLoads
 mutant "idle connections have no bound" internal/daemon/daemon.go \
@@ -416,7 +416,7 @@
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
   's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
-  's/\td\.leavers\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsWhateverItsEntrySays
+  's/\td\.leaving\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsRegardlessOfItsEntry
 mutant "backpressure: what reports say is not heard" platform/engine.go \
   's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
 mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
