--- a/internal/director/world_test.go
+++ b/internal/director/world_test.go
@@ -145,8 +145,8 @@
 
 func (n *node) Catalog() *catalog.Catalog           { return n.w.catalog }
 func (n *node) Snapshot() *fleet.Snapshot           { return n.w.snapshot }
-func (n *node) TriggerExchange()                              {}
-func (n *node) RecordsReadAt() (time.Time, bool)       { return n.peersReadAt, !n.peersUnread }
+func (n *node) TriggerExchange()                    {}
+func (n *node) RecordsReadAt() (time.Time, bool)    { return n.peersReadAt, !n.peersUnread }
 func (n *node) ModelWork(string) map[string]float64 { return nil }
 func (n *node) TrafficSeen() bool                   { return n.traffic }
 func (n *node) Live(now time.Time) []cluster.Peer {
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -122,7 +122,7 @@
 		invalid:   make(map[string]string),
 
 		recent:  newRecentChanges(),
-		backoff: wait.Backoff{Least: retryPause, Most: maxRetryPause},
+		backoff: wait.Backoff{Min: retryPause, Max: maxRetryPause},
 	}
 }
 
@@ -160,7 +160,7 @@
 			d.handleFailure(ctx, sentAt, err)
 			continue
 		}
-		d.backoff.Succeeded()
+		d.backoff.Reset()
 		changed = d.dropExpired(clock.Now()) || changed
 		changed = d.leaving.takeUpdate() || changed
 		d.publish(verifiedAt, changed)
--- a/internal/groups/eligible.go
+++ b/internal/groups/eligible.go
@@ -34,7 +34,7 @@
 
 // ProbeResults looks up the newest probe result of a VM.
 type ProbeResults interface {
-	Get(vm string) (presence.Witness, bool)
+	Get(vm string) (presence.ProbeResult, bool)
 }
 
 // Eligible reports whether the group may receive requests now: it is active,
--- a/internal/groups/eligible_test.go
+++ b/internal/groups/eligible_test.go
@@ -10,9 +10,9 @@
 	"github.com/marbleroad/marbleroad/internal/presence"
 )
 
-type probeResults map[string]presence.Witness
+type probeResults map[string]presence.ProbeResult
 
-func (p probeResults) Get(vm string) (presence.Witness, bool) {
+func (p probeResults) Get(vm string) (presence.ProbeResult, bool) {
 	result, ok := p[vm]
 	return result, ok
 }
@@ -37,7 +37,7 @@
 		for rank := range size {
 			vm := fmt.Sprintf("vm-%d", rank)
 			p.Assign[vm] = Assignment{Group: g.ID, Rank: rank}
-			result := presence.Witness{VM: vm, Group: g.ID, Generation: 7, Rank: rank, Size: size, Ready: true, SentAt: now}
+			result := presence.ProbeResult{VM: vm, Group: g.ID, Generation: 7, Rank: rank, Size: size, Ready: true, SentAt: now}
 			switch rapid.IntRange(0, 20).Draw(t, "fault") {
 			case 0:
 				want = false
@@ -58,7 +58,7 @@
 			case 7:
 				result.Leaving, want = true, false
 			case 8:
-				result.Gone, want = true, false
+				result.Terminated, want = true, false
 			case 9:
 				result.SentAt, want = now.Add(-window-time.Millisecond), false
 			case 10:
