--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -59,9 +59,9 @@
 type Nodes interface {
 	Live(now time.Time) []cluster.Peer
 	Size() int
-	// Domain returns the nodes of this failure domain, the preferred ones first and this one included,
+	// DomainNodes returns the nodes of this failure domain, the preferred ones first and this one included,
 	// and whether the records of all nodes were read.
-	Domain() ([]cluster.Record, bool)
+	DomainNodes() ([]cluster.Record, bool)
 }
 
 // Leader selects the node to follow. All sources of a node share it.
@@ -186,7 +186,7 @@
 		case b.ID == manager:
 			return 1
 		}
-		return cluster.FirstForDuty(a, b)
+		return cluster.CompareForRole(a, b)
 	})
 	return all[:min(len(all), maxLeaders)]
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -131,10 +131,10 @@
 
 func (c largeCluster) Size() int { return maxIndependentNodes + 1 }
 
-// Domain returns no nodes, so that each node reads the full list.
-func (c largeCluster) Domain() ([]cluster.Record, bool) { return nil, true }
+// DomainNodes returns no nodes, so that each node reads the full list.
+func (c largeCluster) DomainNodes() ([]cluster.Record, bool) { return nil, true }
 func (c largeCluster) Live(now time.Time) []cluster.Peer {
-	return []cluster.Peer{{Record: c.leader, State: &marbleroadv1.NodeState{}, HeardAt: now}}
+	return []cluster.Peer{{Record: c.leader, State: &marbleroadv1.NodeState{}, LastSeen: now}}
 }
 
 // node is a leader or a follower.
@@ -328,8 +328,8 @@
 // liveNodes lists live nodes of the failure domain x by ID; one with a star manages its groups.
 type liveNodes []string
 
-func (d liveNodes) Size() int                        { return maxIndependentNodes + len(d) }
-func (d liveNodes) Domain() ([]cluster.Record, bool) { return nil, true }
+func (d liveNodes) Size() int                             { return maxIndependentNodes + len(d) }
+func (d liveNodes) DomainNodes() ([]cluster.Record, bool) { return nil, true }
 func (d liveNodes) Live(now time.Time) []cluster.Peer {
 	var out []cluster.Peer
 	for _, id := range d {
@@ -338,7 +338,7 @@
 		if manages {
 			state.Directing = []string{"x"}
 		}
-		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x"}, State: state, HeardAt: now})
+		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x"}, State: state, LastSeen: now})
 	}
 	return out
 }
@@ -471,12 +471,12 @@
 // liveProcessors lists live nodes of the failure domain x with their shares of a processor.
 type liveProcessors map[string]float64
 
-func (liveProcessors) Size() int                        { return maxIndependentNodes + 1 }
-func (liveProcessors) Domain() ([]cluster.Record, bool) { return nil, true }
+func (liveProcessors) Size() int                             { return maxIndependentNodes + 1 }
+func (liveProcessors) DomainNodes() ([]cluster.Record, bool) { return nil, true }
 func (u liveProcessors) Live(now time.Time) []cluster.Peer {
 	var out []cluster.Peer
 	for id, processor := range u {
-		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x", Processor: processor}, State: &marbleroadv1.NodeState{}, HeardAt: now})
+		out = append(out, cluster.Peer{Record: cluster.Record{ID: id, FailureDomain: "x", Processor: processor}, State: &marbleroadv1.NodeState{}, LastSeen: now})
 	}
 	return out
 }
--- a/internal/feed/firstread.go
+++ b/internal/feed/firstread.go
@@ -169,7 +169,7 @@
 // becomes reachable again.
 func (l *Leader) awaitRecords(ctx context.Context) {
 	for deadline := clock.Now().Add(recordsTimeout + rand.N(recordsTimeout)); clock.Now().Before(deadline); wait.Sleep(ctx, recordsPollInterval) {
-		if _, known := l.nodes.Domain(); known || ctx.Err() != nil {
+		if _, known := l.nodes.DomainNodes(); known || ctx.Err() != nil {
 			return
 		}
 	}
@@ -177,14 +177,14 @@
 
 // domain returns the nodes of the failure domain, the preferred ones first.
 func (l *Leader) domain() []cluster.Record {
-	records, _ := l.nodes.Domain()
+	records, _ := l.nodes.DomainNodes()
 	return records
 }
 
 // rank returns this node's rank among the nodes of its failure domain; false when it reads everything
 // for itself, because there are few nodes or nothing is known of them.
 func (l *Leader) rank() (int, bool) {
-	records, known := l.nodes.Domain()
+	records, known := l.nodes.DomainNodes()
 	if !known || l.nodes.Size() <= maxIndependentNodes {
 		return 0, false
 	}
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -109,7 +109,7 @@
 func (n startingNodes) Size() int                     { return len(n.records) }
 func (n startingNodes) Live(time.Time) []cluster.Peer { return nil }
 
-func (n startingNodes) Domain() ([]cluster.Record, bool) { return n.records, true }
+func (n startingNodes) DomainNodes() ([]cluster.Record, bool) { return n.records, true }
 
 // startNodes starts the nodes of one failure domain at the same moment.
 func startNodes(t *testing.T, link *slowLink, count int) []*node {
--- a/internal/feed/picker_test.go
+++ b/internal/feed/picker_test.go
@@ -30,9 +30,9 @@
 // domainNodes is a failure domain with these nodes, whose records were read.
 type domainNodes []cluster.Record
 
-func (r domainNodes) Size() int                        { return len(r) }
-func (r domainNodes) Live(time.Time) []cluster.Peer    { return nil }
-func (r domainNodes) Domain() ([]cluster.Record, bool) { return r, true }
+func (r domainNodes) Size() int                             { return len(r) }
+func (r domainNodes) Live(time.Time) []cluster.Peer         { return nil }
+func (r domainNodes) DomainNodes() ([]cluster.Record, bool) { return r, true }
 
 // selector returns the leader selector of the domain's node i.
 func (r domainNodes) selector(t *testing.T, i int) *Leader {
@@ -73,7 +73,7 @@
 func (c *cohort) start(selector *Leader, i int) {
 	read := firstRead[string]{object: "test", selector: selector, fromPeer: c.readFromPeer,
 		fromPlatform: func(ctx context.Context) (string, error) { return c.read(ctx, i) }}
-	failing := wait.Backoff{Least: 100 * time.Millisecond, Most: 400 * time.Millisecond}
+	failing := wait.Backoff{Min: 100 * time.Millisecond, Max: 400 * time.Millisecond}
 	for started := time.Now(); time.Since(started) < testWait; {
 		if _, err := read.read(context.Background()); err == nil {
 			break
--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -106,7 +106,7 @@
 func (a *Archive) readLoop(ctx context.Context) {
 	var revision uint64
 	known := false
-	backoff := wait.Backoff{Least: minRetryPause, Most: maxRetryPause}
+	backoff := wait.Backoff{Min: minRetryPause, Max: maxRetryPause}
 	for firstRead := true; ctx.Err() == nil; {
 		if !firstRead && !a.reads() {
 			known = false
@@ -129,7 +129,7 @@
 			continue
 		}
 		firstRead, known, revision, a.readFailed = false, true, next, false
-		backoff.Succeeded()
+		backoff.Reset()
 		for _, o := range objects {
 			if _, err := a.mergeObject(o); err != nil {
 				a.logReadFailure(ctx, err)
@@ -169,7 +169,7 @@
 // writeLoop writes what this node has observed itself at once. What others have observed and the store
 // lacks is written after a delay.
 func (a *Archive) writeLoop(ctx context.Context) {
-	backoff := wait.Backoff{Least: minRetryPause, Most: maxRetryPause}
+	backoff := wait.Backoff{Min: minRetryPause, Max: maxRetryPause}
 	for ctx.Err() == nil {
 		urgent := a.awaitTrigger(ctx)
 		digest := a.table.Digest(a.now())
@@ -184,7 +184,7 @@
 			}
 			continue
 		}
-		backoff.Succeeded()
+		backoff.Reset()
 	}
 }
 
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -45,10 +45,10 @@
 	return &Gossip{table: table, log: log, peers: make(map[string]*peerState)}
 }
 
-// Ask implements cluster.Quarantine and returns the message of a request to a node. Where all nodes
+// NewRequest implements cluster.Quarantine and returns the message of a request to a node. Where all nodes
 // call each other, relay is false, since each node sends what it observed to all others itself. With
 // relays, one of eight nodes sent 10,455 records of 800 terminations instead of 1,365.
-func (g *Gossip) Ask(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews {
+func (g *Gossip) NewRequest(now time.Time, peer string, relay bool) *marbleroadv1.QuarantineNews {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peer(peer)
@@ -57,8 +57,8 @@
 	return g.message(now, p, records, p.digestDiffers)
 }
 
-// Asked implements cluster.Quarantine and merges the response to a request.
-func (g *Gossip) Asked(sentAt time.Time, peer string, message *marbleroadv1.QuarantineNews) {
+// HandleResponse implements cluster.Quarantine and merges the response to a request.
+func (g *Gossip) HandleResponse(sentAt time.Time, peer string, message *marbleroadv1.QuarantineNews) {
 	g.receive(sentAt, peer, message)
 	digest := g.table.Digest(sentAt)
 	g.mu.Lock()
@@ -68,9 +68,9 @@
 	p.digestDiffers = message != nil && message.GetDigest() != digest
 }
 
-// Answer implements cluster.Quarantine: it merges the message of a request and returns that of the
+// HandleRequest implements cluster.Quarantine: it merges the message of a request and returns that of the
 // response.
-func (g *Gossip) Answer(now time.Time, peer string, member bool, message *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
+func (g *Gossip) HandleRequest(now time.Time, peer string, member bool, message *marbleroadv1.QuarantineNews) *marbleroadv1.QuarantineNews {
 	g.receive(now, peer, message)
 	differs := message.GetDigest() != g.table.Digest(now)
 	g.mu.Lock()
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -359,7 +359,7 @@
 	}
 }
 
-func plainUsable(s *Snapshot, seen presence.Witness, now time.Time, window time.Duration) bool {
+func plainUsable(s *Snapshot, seen presence.ProbeResult, now time.Time, window time.Duration) bool {
 	return seen.Fresh(now, window) && seen.Ready && !seen.Leaving && !s.Leaving[seen.VM]
 }
 
--- a/internal/wait/backoff.go
+++ b/internal/wait/backoff.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Backoff spaces out the tries of something that fails: each pause is about twice as
-// long as the one before, up to a bound, and random within a factor of two, so that
-// many processes that failed together don't try together.
+// Backoff computes the pauses between attempts at an operation that fails. The base of the pauses
+// starts at Min and doubles with each pause up to Max. Each pause is the base plus a random extra of
+// less than the base, so pauses reach almost twice Max. The extra keeps many processes that failed
+// together from retrying together. Backoff must not be used by several goroutines at once.
 type Backoff struct {
-	Least, Most time.Duration
-	failures    int
+	Min, Max time.Duration
+	failures int
 }
 
-// Next is the pause before the next try.
+// Next returns the pause before the next attempt.
 func (b *Backoff) Next() time.Duration {
-	pause := b.Least
+	pause := b.Min
 	for range b.failures {
-		pause = min(2*pause, b.Most)
+		pause = min(2*pause, b.Max)
 	}
-	if pause < b.Most {
+	if pause < b.Max {
 		b.failures++
 	}
 	return pause + rand.N(pause)
 }
 
-// Succeeded has the next failure begin anew.
-func (b *Backoff) Succeeded() { b.failures = 0 }
+// Reset makes the next pause start from Min again. It is called after a success.
+func (b *Backoff) Reset() { b.failures = 0 }
