--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -4,7 +4,7 @@
 // Concurrency: one actor (state) owns the control state. Probes, exchanges, platform calls and
 // orders run on goroutines of their own and send their outcome to the actor as typed messages.
 // What they need from the actor is published as an immutable *tickResult behind an atomic
-// pointer. item.Set and presence.Board are shared and have locks of their own.
+// pointer. item.Set and presence.Registry are shared and have locks of their own.
 package control
 
 import (
@@ -75,7 +75,7 @@
 	parts       Parts
 	incarnation uint64
 	items       *item.Set
-	registry    *presence.Board
+	registry    *presence.Registry
 	client      *http.Client
 
 	system     *actor.ActorSystem
@@ -103,7 +103,7 @@
 		parts:       p,
 		incarnation: incarnation,
 		items:       item.NewSet(incarnation),
-		registry:    presence.NewBoard(),
+		registry:    presence.NewRegistry(),
 		client:      p.Peers.Client(),
 		localProbes: newProbeTracker(),
 	}
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -370,7 +370,7 @@
 }
 
 // followsOrder reports whether the probe result matches the order.
-func followsOrder(o engine.Order, probe presence.Witness) bool {
+func followsOrder(o engine.Order, probe presence.ProbeResult) bool {
 	return probe.Group == o.Group && probe.Generation == o.Generation && probe.Rank == o.Rank && probe.Size == o.Size
 }
 
--- a/internal/control/probe.go
+++ b/internal/control/probe.go
@@ -117,6 +117,6 @@
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
-	k.registry.Record(presence.Witness{VM: m.VM, SentAt: sentAt, Gone: true})
+	k.registry.Record(presence.ProbeResult{VM: m.VM, SentAt: sentAt, Terminated: true})
 	return true
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -202,7 +202,7 @@
 	s.markLostPeers(now)
 	s.trackMissing(now, snapshot)
 	s.trackDowntime(now, snapshot)
-	s.k.registry.Forget(now.Add(-probeResultRetention))
+	s.k.registry.RemoveBefore(now.Add(-probeResultRetention))
 	live := s.liveNodes(now)
 	s.nodes = snapshot.Nodes
 	s.leases = leasesFor(exchangeInterval(s.k.config.ExchangeInterval, len(s.localPeers)))
--- a/internal/item/item.go
+++ b/internal/item/item.go
@@ -1,8 +1,8 @@
-// Package item keeps versioned objects (table rows, group plans, node records,
-// membership lists, drain orders) and passes them between processes.
+// Package item stores versioned objects (table rows, group plans, node records, membership lists,
+// drain orders) and passes them between processes.
 //
-// Invariant: for each key the version held never falls. That one rule is what
-// keeps an accepted change from reverting, whichever stale peer is met.
+// Invariant: the stored version of a key never decreases. This alone keeps an accepted change from
+// being reverted by a stale peer.
 package item
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key prefixes of the items.
+// Key prefixes of the items, by kind. MembersPrefix is followed by the failure domain whose VMs the
+// list holds, PlanPrefix and DrainPrefix by the failure domain and a slash.
 const (
 	TablePrefix   = "table/"
 	PlanPrefix    = "plan/"
@@ -29,19 +30,20 @@
 	Value   []byte
 }
 
-// Cursor names a position in one Set's change log.
+// Cursor is a position in one Set's change log: the incarnation of the Set and the sequence number of
+// a change.
 type Cursor struct {
 	Incarnation uint64
 	Sequence    uint64
 }
 
+// entry is an item and the sequence number of the change that stored it.
 type entry struct {
 	item     Item
 	sequence uint64
 }
 
-// Set holds the newest known version of each item. All methods may be called
-// from any goroutine.
+// Set holds the newest received version of each item. All methods may be called from any goroutine.
 type Set struct {
 	incarnation uint64
 
@@ -51,15 +53,13 @@
 	digest   uint64
 }
 
-// NewSet returns an empty set. The incarnation is a number that no earlier
-// process of the same node has used with overwhelming likelihood; cursors of
-// other incarnations read from the start.
+// NewSet returns an empty set. The incarnation is a number that, with overwhelming likelihood, no
+// earlier process of the same node has used; a cursor of another incarnation reads from the start.
 func NewSet(incarnation uint64) *Set {
 	return &Set{incarnation: incarnation, entries: make(map[string]entry)}
 }
 
-// Adopt stores the item if its version is higher than the one held. It
-// reports whether it did.
+// Adopt stores the item if its version is higher than the stored one. It reports whether it did.
 func (s *Set) Adopt(it Item) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,26 +100,25 @@
 	return out
 }
 
-// Digest returns a hash over the keys and versions of the table rows. Equal
-// digests mean equal tables, up to 64-bit collisions.
+// Digest returns a hash over the keys and versions of the table rows. Equal digests mean equal
+// tables, up to 64-bit collisions.
 func (s *Set) Digest() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.digest
 }
 
-// Sequence counts the changes adopted so far.
+// Sequence returns the number of changes adopted so far. While it stays the same, the items do.
 func (s *Set) Sequence() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.sequence
 }
 
-// Since returns the items that keep accepts and that changed after the
-// cursor, oldest change first, and the cursor to ask with next time. A
-// requester whose table has the given digest gets no table rows: it has them
-// all, whoever it got them from. Digest and log are read at one moment, so no
-// row falls between.
+// Since returns the items that keep accepts and that changed after the cursor, oldest change first,
+// and the cursor for the next call. If the digest equals this set's, no table rows are returned:
+// the requester already has all of them, possibly from other peers. The digest and the log are read
+// under one lock, so no row is missed between them.
 func (s *Set) Since(c Cursor, digest uint64, keep func(key string) bool) ([]Item, Cursor) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -147,6 +146,7 @@
 	return out, next
 }
 
+// hash returns a hash of the item's key and version.
 func hash(it Item) uint64 {
 	var version [8]byte
 	for i := range version {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -367,7 +367,7 @@
 	}
 }
 
-func isPlainUpstreamEligible(s *Snapshot, probe presence.Witness, now time.Time, window time.Duration) bool {
+func isPlainUpstreamEligible(s *Snapshot, probe presence.ProbeResult, now time.Time, window time.Duration) bool {
 	return probe.Fresh(now, window) && probe.Ready && !probe.Leaving && !s.Leaving[probe.VM]
 }
 
