--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Request is what the decision knows of one request.
+// Request holds the properties of a request that decide whether an engine admits it.
 type Request struct {
-	// Prompt is its prompt tokens.
+	// Prompt is the number of tokens in the request's prompt.
 	Prompt float64
-	// Objective is the time to the first event within which an answer counts as in
-	// time, from the caller's first try; zero for none.
+	// Objective is the target for the time from the caller's first attempt to the first
+	// event of the response; zero means that there is no target.
 	Objective time.Duration
-	// Spent is how much of it is over.
+	// Spent is the part of Objective that has elapsed since the caller's first attempt.
 	Spent time.Duration
-	// Kept is the part, 0 to 1, of the time that an idle engine leaves of the
-	// objective that is kept for more urgent requests: less urgent ones wait less, and
-	// are turned away first.
+	// Kept is the fraction, 0 to 1, of the slack that is reserved for more urgent requests.
+	// The slack is the objective less the time to the first event on an idle engine. A less
+	// urgent request may use less of it for waiting, and so is rejected first.
 	Kept float64
 }
 
 const (
-	// idleShare is the part of the slots below which an engine without unread
-	// prompts takes any request: there is nothing to be gained by turning it away,
-	// and its first event corrects the offset.
+	// idleShare is the fraction of the slots in use below which an engine without
+	// unread prompts admits any request: rejecting it would gain nothing, and its first
+	// event corrects the offset.
 	idleShare = 0.5
-	// lateShare is the part of the objective within which a usual request that
-	// comes right after one that is late in any case must still get its first
-	// event: late ones use what is left and keep nobody else from being in time.
-	lateShare = 0.85
+	// lateAdmissionShare is the fraction of the objective within which a typical
+	// request that arrives right after a late one must still get its first event. Late
+	// requests may use only spare capacity, so that they make no other request late.
+	lateAdmissionShare = 0.85
 )
 
-// Admit reports whether an engine takes a request, with the offset learned for its
-// model. A request that can still be in time is taken when it is expected to be;
-// one that is late in any case only where it keeps none from being in time. The
-// part of a long prompt above the usual one does not count against its request:
-// long ones are not to be served less often than others.
+// Admit reports whether an engine admits a request, given the offset learned for its
+// model. A request that can still meet its objective is admitted if the prediction says
+// that it will. A request that is late on any engine is admitted only if it makes no
+// other request late. Prompt tokens above the mean prompt length do not count against
+// their own request, so that long prompts are not served less often than short ones.
 func (e Engine) Admit(w Work, r Request, offset time.Duration) bool {
 	if !e.Known() || r.Objective <= 0 {
 		return true
@@ -41,17 +41,17 @@
 		return true
 	}
 	if e.First(Work{}, e.UsualPrompt)+offset > r.Objective {
-		// Nobody can be in time here; late answers are better than none.
+		// No request can meet the objective here; late responses are better than none.
 		return w.InFlight < e.Slots
 	}
 	prompt := min(r.Prompt, e.UsualPrompt)
-	soonest := e.First(Work{}, prompt) + offset
-	kept := time.Duration(r.Kept * float64(max(r.Objective-soonest, 0)))
-	left := r.Objective - kept - r.Spent
-	if soonest <= left {
+	minFirst := e.First(Work{}, prompt) + offset
+	reserved := time.Duration(r.Kept * float64(max(r.Objective-minFirst, 0)))
+	left := r.Objective - reserved - r.Spent
+	if minFirst <= left {
 		return e.First(w, prompt)+offset <= left
 	}
 	after := Work{InFlight: w.InFlight + 1, Unread: w.Unread + r.Prompt, Pass: w.Pass}
-	spare := time.Duration(lateShare * float64(r.Objective))
+	spare := time.Duration(lateAdmissionShare * float64(r.Objective))
 	return w.InFlight < e.Slots && e.First(after, e.UsualPrompt)+offset <= spare
 }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,8 +14,8 @@
 		ReadPerSecond: 40000, UsualPrompt: 1000, UsualAnswer: 100, Pace: 1}
 }
 
-// TestFirstEventAddsUp checks a prediction by hand: half a pass, the reading of both
-// prompts and a pass.
+// TestFirstEventAddsUp compares predictions with sums computed by hand: half a pass, the
+// reading of all prompts, and a pass.
 func TestFirstEventAddsUp(t *testing.T) {
 	e := engine()
 	w := Work{InFlight: 9, Unread: 2000}
@@ -26,18 +26,18 @@
 	}
 	w.Pass = 2 * pass
 	if got := e.First(w, 1000); got != want+pass/2 {
-		t.Errorf("with longer passes seen: %v, expected %v", got, want+pass/2)
+		t.Errorf("with longer observed passes: %v, expected %v", got, want+pass/2)
 	}
 	w = Work{InFlight: 20}
 	full := e.Decode(20)
 	if got := e.First(w, 0); got != full/2+full+full {
-		t.Errorf("with one request ahead of a place: %v, expected %v", got, full/2+full+full)
+		t.Errorf("while all slots are in use: %v, expected %v", got, full/2+full+full)
 	}
 }
 
-// TestMoreWorkIsNeverSooner: the first event never comes sooner with more requests,
-// unread prompts or a longer prompt.
-func TestMoreWorkIsNeverSooner(t *testing.T) {
+// TestMoreLoadIsNeverSooner checks that more requests, more unread prompts or a longer
+// prompt never make the predicted first event earlier.
+func TestMoreLoadIsNeverSooner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := engine()
 		w := Work{InFlight: rapid.IntRange(0, 60).Draw(t, "in flight"), Unread: rapid.Float64Range(0, 1e5).Draw(t, "unread")}
@@ -49,14 +49,14 @@
 			"a longer prompt":  e.First(w, prompt+500),
 		} {
 			if later < base {
-				t.Fatalf("%s: %v, sooner than %v", name, later, base)
+				t.Fatalf("%s: first event after %v, earlier than %v", name, later, base)
 			}
 		}
 	})
 }
 
 func TestAdmit(t *testing.T) {
-	const aim = 400 * time.Millisecond
+	const objective = 400 * time.Millisecond
 	const offset = 150 * time.Millisecond
 	cases := []struct {
 		name string
@@ -65,17 +65,17 @@
 		off  time.Duration
 		want bool
 	}{
-		{"in time", Work{InFlight: 15, Unread: 1000}, Request{Prompt: 1000, Objective: aim}, offset, true},
-		{"behind many unread prompts", Work{InFlight: 15, Unread: 8000}, Request{Prompt: 1000, Objective: aim}, offset, false},
-		{"a long prompt is not turned away for its own length", Work{InFlight: 15, Unread: 1000}, Request{Prompt: 9000, Objective: aim}, offset, true},
-		{"the less urgent first", Work{InFlight: 15, Unread: 4500}, Request{Prompt: 1000, Objective: aim, Kept: 0.3}, offset, false},
-		{"but not at an engine with room", Work{InFlight: 10, Unread: 500}, Request{Prompt: 1000, Objective: aim, Kept: 0.3}, 200 * time.Millisecond, true},
-		{"and not the urgent", Work{InFlight: 15, Unread: 4500}, Request{Prompt: 1000, Objective: aim}, offset, true},
-		{"late in any case, but in nobody's way", Work{InFlight: 12}, Request{Prompt: 1000, Objective: aim, Spent: aim}, offset, true},
-		{"late in any case, and in the way", Work{InFlight: 18, Unread: 3000}, Request{Prompt: 1000, Objective: aim, Spent: aim}, offset, false},
-		{"an idle engine takes all", Work{InFlight: 5}, Request{Prompt: 1000, Objective: aim, Spent: aim}, time.Second, true},
-		{"an engine too slow for anybody serves late", Work{InFlight: 15, Unread: 2000}, Request{Prompt: 1000, Objective: aim}, time.Second, true},
-		{"but has an end", Work{InFlight: 20, Unread: 2000}, Request{Prompt: 1000, Objective: aim}, time.Second, false},
+		{"in time", Work{InFlight: 15, Unread: 1000}, Request{Prompt: 1000, Objective: objective}, offset, true},
+		{"behind many unread prompts", Work{InFlight: 15, Unread: 8000}, Request{Prompt: 1000, Objective: objective}, offset, false},
+		{"a long prompt is not rejected for its own length", Work{InFlight: 15, Unread: 1000}, Request{Prompt: 9000, Objective: objective}, offset, true},
+		{"a less urgent request is rejected first", Work{InFlight: 15, Unread: 4500}, Request{Prompt: 1000, Objective: objective, Kept: 0.3}, offset, false},
+		{"a less urgent request at an engine with headroom", Work{InFlight: 10, Unread: 500}, Request{Prompt: 1000, Objective: objective, Kept: 0.3}, 200 * time.Millisecond, true},
+		{"an urgent request under the same load", Work{InFlight: 15, Unread: 4500}, Request{Prompt: 1000, Objective: objective}, offset, true},
+		{"late in any case, delays no other request", Work{InFlight: 12}, Request{Prompt: 1000, Objective: objective, Spent: objective}, offset, true},
+		{"late in any case, delays other requests", Work{InFlight: 18, Unread: 3000}, Request{Prompt: 1000, Objective: objective, Spent: objective}, offset, false},
+		{"an idle engine admits every request", Work{InFlight: 5}, Request{Prompt: 1000, Objective: objective, Spent: objective}, time.Second, true},
+		{"an engine too slow for the objective serves late", Work{InFlight: 15, Unread: 2000}, Request{Prompt: 1000, Objective: objective}, time.Second, true},
+		{"an engine too slow for the objective, all slots in use", Work{InFlight: 20, Unread: 2000}, Request{Prompt: 1000, Objective: objective}, time.Second, false},
 		{"no objective, no limit", Work{InFlight: 90, Unread: 1e6}, Request{Prompt: 1000}, offset, true},
 	}
 	for _, c := range cases {
@@ -83,13 +83,14 @@
 			t.Errorf("%s: admitted %v", c.name, got)
 		}
 	}
-	if !(Engine{Slots: 1}).Admit(Work{InFlight: 9}, Request{Objective: aim}, 0) {
-		t.Error("an engine without figures turned a request away")
+	if !(Engine{Slots: 1}).Admit(Work{InFlight: 9}, Request{Objective: objective}, 0) {
+		t.Error("an engine without figures rejected a request")
 	}
 }
 
-// TestOffsetFollowsLateFirstEvents: the offset comes to where nearly all first events
-// lie within it, follows a change, and a single outlier moves it little.
+// TestOffsetFollowsLateFirstEvents checks that the offset converges to a value that covers
+// nearly all first events, that it follows a change, and that a single outlier moves it by
+// less than a step.
 func TestOffsetFollowsLateFirstEvents(t *testing.T) {
 	var o Offset
 	for range 200 {
@@ -111,9 +112,10 @@
 	}
 }
 
-// TestOffsetThatKeepsAllOutEnds: without first events the offset goes by itself.
-func TestOffsetThatKeepsAllOutEnds(t *testing.T) {
-	o := Offset{value: offsetMost}
+// TestOffsetDecaysWithoutFirstEvents guards against an offset so high that all requests are
+// rejected: it gets no first events that could correct it, and must decay on rejections.
+func TestOffsetDecaysWithoutFirstEvents(t *testing.T) {
+	o := Offset{value: maxOffset}
 	for range 10_000 {
 		o.Ease()
 	}
--- a/internal/batch/offset.go
+++ b/internal/batch/offset.go
@@ -3,41 +3,42 @@
 import "time"
 
 const (
-	// onTimeShare is the part of first events that shall come within the prediction
-	// and the offset. One request too many makes all that wait behind it later, so
-	// it is well above a half; with callers twice and three times as many as can be
-	// served, 0.6 gives 59 answers in time where 0.85 to 0.95 give 74 (the replay of
-	// internal/gateway/crowd_test.go).
+	// onTimeShare is the quantile that the offset follows: the fraction of first events
+	// that should come within the prediction plus the offset. It is well above a half
+	// because one request too many delays all that wait behind it: with two and three
+	// times as many callers as can be served, 0.6 gives 59 responses in time, and 0.85 to
+	// 0.95 give 74.
 	onTimeShare = 0.9
-	// offsetStep is how far one first event moves the offset. Some ten first
-	// events a second and node then follow a change of 100 ms in about two
-	// seconds, and a single late one moves it by 9 ms.
+	// offsetStep bounds how far one first event moves the offset. At some ten first
+	// events per second and node, the offset follows a change of 100 ms in about two
+	// seconds, and a single late event moves it by 9 ms.
 	offsetStep = 10 * time.Millisecond
-	// offsetMost bounds the offset, so that one bad time is soon forgotten.
-	offsetMost = 2 * time.Second
+	// maxOffset bounds the offset, so that it recovers soon after a period of late events.
+	maxOffset = 2 * time.Second
 )
 
-// Offset learns by how much first events come later than predicted: the network,
-// the engine's own constant, other nodes' requests that were not known of. It
-// follows a quantile, so a few answers of a slow or dying engine hardly move it.
+// Offset estimates by how much first events come later than predicted, because of the
+// network, the engine's constant overhead and requests of other nodes that this node did
+// not know of. It follows a quantile, so a few responses of a slow or failing engine hardly
+// move it.
 type Offset struct{ value time.Duration }
 
-// Value is the offset.
+// Value returns the current offset.
 func (o *Offset) Value() time.Duration { return o.value }
 
-// Learn takes the time that a first event took, and what was predicted.
-func (o *Offset) Learn(took, predicted time.Duration) {
-	if took > predicted+o.value {
+// Learn updates the offset from the elapsed time until a first event and its prediction.
+func (o *Offset) Learn(elapsed, predicted time.Duration) {
+	if elapsed > predicted+o.value {
 		o.value += time.Duration(onTimeShare * float64(offsetStep))
 	} else {
 		o.value -= time.Duration((1 - onTimeShare) * float64(offsetStep))
 	}
-	o.value = min(max(o.value, 0), offsetMost)
+	o.value = min(max(o.value, 0), maxOffset)
 }
 
-// Ease lowers the offset a little. It is called for each request that was turned
-// away because of it, so that an offset that keeps all requests out, and so sees no
-// first events, does not last.
+// Ease lowers the offset slightly. It is called for each request that was rejected
+// because of the offset: an offset that rejects all requests gets no first events to learn
+// from, and would otherwise stay.
 func (o *Offset) Ease() {
 	o.value -= offsetStep / 20
 	o.value = max(o.value, 0)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -261,7 +261,7 @@
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestCrowdGetsItsAnswersInTime
 mutant "the offset is not learned" internal/batch/offset.go \
-  's/if took > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
+  's/if elapsed > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
 mutant "late requests are taken like others" internal/batch/admit.go \
   's/return w\.InFlight < e\.Slots \&\& e\.First/return true || e.First/' ./internal/batch TestAdmit
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
