--- a/internal/spread/life.go
+++ b/internal/spread/life.go
@@ -3,32 +3,34 @@
 import "time"
 
 const (
-	// lifeSmoothing is the weight of the newest request's life; lifeLeast is how many must have ended
-	// before what was learned is believed.
-	lifeSmoothing = 0.05
-	lifeLeast     = 16
+	// durationSmoothing is the weight of the newest request's duration in the mean; minDurations is
+	// the number of finished requests from which on the mean is used for predictions.
+	durationSmoothing = 0.05
+	minDurations      = 16
 )
 
-// Life learns how long requests are at a head, from those that end well: sizes of answers differ
-// between models and change over the day, and what an engine says of them is a mean over all.
+// Life estimates the mean service time of requests at a head from those that finish successfully.
+// The sizes of answers differ between models and change over the day, whereas the figure that an
+// engine reports is a mean over all of them.
 type Life struct {
-	mean  time.Duration
-	ended int
+	mean     time.Duration
+	finished int
 }
 
-// Ended takes the life of one request.
-func (l *Life) Ended(took time.Duration) {
-	l.ended++
-	weight := max(lifeSmoothing, 1/float64(l.ended))
-	l.mean += time.Duration(weight * float64(took-l.mean))
+// Ended records the service time of one finished request.
+func (l *Life) Ended(elapsed time.Duration) {
+	l.finished++
+	weight := max(durationSmoothing, 1/float64(l.finished))
+	l.mean += time.Duration(weight * float64(elapsed-l.mean))
 }
 
-// Mean is the mean life; zero while no request has ended.
+// Mean returns the mean service time; zero while no request has finished.
 func (l *Life) Mean() time.Duration { return l.mean }
 
-// Ends is how many of so many requests end within a time; false while too few have ended to tell.
+// Ends predicts how many of load requests finish within a time. It returns false while too few
+// requests have finished for a prediction.
 func (l *Life) Ends(load float64, within time.Duration) (float64, bool) {
-	if l.ended < lifeLeast || l.mean <= 0 {
+	if l.finished < minDurations || l.mean <= 0 {
 		return 0, false
 	}
 	return load * min(float64(within)/float64(l.mean), 1), true
--- a/internal/spread/rate.go
+++ b/internal/spread/rate.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// rateWindow is the time over which arrivals are counted: short beside a crowd, and long enough for a
-// node that gets a few requests a second.
+// rateWindow is the time constant of the decaying arrival count: shorter than a load surge, and long
+// enough for a node that receives a few requests per second.
 const rateWindow = time.Second
 
-// Rate counts how many requests come a second; older ones count less and less.
+// Rate measures arriving requests per second as an exponentially decaying average.
 type Rate struct {
-	value float64
-	at    time.Time
+	perSecond float64
+	updatedAt time.Time
 }
 
 // Add counts one request.
 func (r *Rate) Add(now time.Time) {
-	r.value = r.Value(now) + 1/rateWindow.Seconds()
-	r.at = now
+	r.perSecond = r.Value(now) + 1/rateWindow.Seconds()
+	r.updatedAt = now
 }
 
-// Value is the requests a second.
+// Value returns the rate in requests per second.
 func (r *Rate) Value(now time.Time) float64 {
-	if r.at.IsZero() {
+	if r.updatedAt.IsZero() {
 		return 0
 	}
-	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateWindow.Seconds())
+	return r.perSecond * math.Exp(-now.Sub(r.updatedAt).Seconds()/rateWindow.Seconds())
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,83 +1,86 @@
-// Package spread divides requests among heads whose loads are known late.
+// Package spread divides requests among heads whose loads are known only with a delay.
 //
-// It answers the load pattern of a crowd before many nodes: each node sends few requests, and what the
-// others have sent is known when dozens more have arrived. A node that sends to the head with the least
-// known load, as all others do, fills that head far beyond its slots until the next news, while others
-// stand idle; and one that takes each request which seems to fit takes many times what fits.
+// The problem arises in a load surge at many nodes: each node sends few requests, and learns what the
+// others have sent only after dozens more have arrived. If every node sends to the head with the lowest
+// known load, that head is filled far beyond its slots before the next update while other heads are
+// idle. If every node admits each request that seems to fit, they admit many times what fits.
 //
-// Instead each node works out what all of them will have sent until the next news, and divides that so
-// that the heads end up alike: a head gets its share of the requests by its room, and requests for which
-// there is no room in sum are turned away in that proportion.
+// Instead, each node estimates how many requests all nodes together send until the next update, and
+// divides these so that the loads of the heads become equal. Each head gets a share according to its
+// headroom. If the total headroom is too small, each node rejects the fraction of its requests that does not fit.
 //
 // The package is pure: it has no clock, no locks, no randomness of its own and no input or output.
 package spread
 
-// Head is what is known of one head.
+// Head holds the last known load of one head.
 type Head struct {
-	// Load is the requests there, as far as known, and what weighs as much.
+	// Load is the known number of requests at the head, plus any penalty in requests.
 	Load float64
-	// Most is the load that it shall have at most.
+	// Most is the upper bound for the load.
 	Most float64
-	// Ends is how many of its requests end until the next news.
+	// Ends is the expected number of its requests that finish before the next update.
 	Ends float64
 }
 
-// left is the load at the next news if nothing comes.
-func (h Head) left() float64 { return h.Load - h.Ends }
+// remaining returns the load at the next update if no request is sent.
+func (h Head) remaining() float64 { return h.Load - h.Ends }
 
-// room is how many requests it can take until the next news.
-func (h Head) room() float64 { return max(h.Most-h.left(), 0) }
+// headroom returns how many requests the head can take until the next update.
+func (h Head) headroom() float64 { return max(h.Most-h.remaining(), 0) }
 
-// Shares are the parts, 0 to 1, of the next requests that the heads get, when so many are expected of
-// all nodes until the next news; what is missing from a sum of 1 is turned away.
+// Shares returns the fraction, 0 to 1, of the next requests that each head gets, where expected is the
+// number of requests that all nodes send until the next update. If the fractions add up to less than 1,
+// the rest of the requests is rejected.
 func Shares(heads []Head, expected float64) []float64 {
 	out := make([]float64, len(heads))
-	room := Room(heads)
-	if room <= 0 {
+	headroom := Room(heads)
+	if headroom <= 0 {
 		return out
 	}
-	// This request comes, whatever is expected.
+	// At least the request that is being decided on arrives.
 	expected = max(expected, 1)
-	if expected >= room {
+	if expected >= headroom {
 		for i, h := range heads {
-			out[i] = h.room() / expected
+			out[i] = h.headroom() / expected
 		}
 		return out
 	}
-	level := fill(heads, expected)
+	level := levelAfter(heads, expected)
 	for i, h := range heads {
-		out[i] = h.filled(level) / expected
+		out[i] = h.requestsTo(level) / expected
 	}
 	return out
 }
 
-// filled is how many requests bring the head to a level, as far as there is room.
-func (h Head) filled(level float64) float64 { return min(max(level-h.left(), 0), h.room()) }
+// requestsTo returns how many requests raise the head's load to a level, bounded by its headroom.
+func (h Head) requestsTo(level float64) float64 {
+	return min(max(level-h.remaining(), 0), h.headroom())
+}
 
-// Room is how many requests the heads can take in sum until the next news.
+// Room returns how many requests all heads together can take until the next update.
 func Room(heads []Head) float64 {
 	sum := 0.0
 	for _, h := range heads {
-		sum += h.room()
+		sum += h.headroom()
 	}
 	return sum
 }
 
-// fillSteps is how often the level is halved in: far finer than one request.
-const fillSteps = 40
+// bisectionSteps is the number of bisection steps for the level; the result is far finer than one request.
+const bisectionSteps = 40
 
-// fill is the load that the heads come to when so many requests, for which there is room, go where the
-// load is least.
-func fill(heads []Head, requests float64) float64 {
-	low, high := heads[0].left(), heads[0].Most
+// levelAfter returns the load that heads reach when so many requests are each sent to the head with the
+// lowest load. The requests must fit into the headroom.
+func levelAfter(heads []Head, requests float64) float64 {
+	low, high := heads[0].remaining(), heads[0].Most
 	for _, h := range heads {
-		low, high = min(low, h.left()), max(high, h.Most)
+		low, high = min(low, h.remaining()), max(high, h.Most)
 	}
-	for range fillSteps {
+	for range bisectionSteps {
 		level := (low + high) / 2
 		sum := 0.0
 		for _, h := range heads {
-			sum += h.filled(level)
+			sum += h.requestsTo(level)
 		}
 		if sum < requests {
 			low = level
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -18,12 +18,13 @@
 	return total
 }
 
-// TestHeadsEndUpAlike: while there is room, the requests that are expected level the heads' loads.
-func TestHeadsEndUpAlike(t *testing.T) {
+// TestSharesLevelHeadLoads checks that the expected requests make the heads' loads equal while there is
+// headroom for all of them.
+func TestSharesLevelHeadLoads(t *testing.T) {
 	heads := []Head{{Load: 10, Most: 40}, {Load: 20, Most: 40}, {Load: 35, Most: 40}, {Load: 30, Most: 40, Ends: 25}}
 	const expected = 27
 	shares := Shares(heads, expected)
-	// 5, 10 and 20 come to 20 and two thirds; 35 stays.
+	// Heads with 5, 10 and 20 requests are filled up to 20 2/3; the one with 35 gets none.
 	for i, want := range []float64{32. / 3, 2. / 3, 0, 47. / 3} {
 		if got := shares[i] * expected; math.Abs(got-want) > 1e-6 {
 			t.Errorf("head %d gets %.2f requests, expected %.2f", i, got, want)
@@ -31,9 +32,9 @@
 	}
 }
 
-// TestCrowdIsTurnedAwayByRoom: of more requests than there is room for, as many are taken as fit, by
-// each head as many as fit there.
-func TestCrowdIsTurnedAwayByRoom(t *testing.T) {
+// TestSurgeIsRejectedByHeadroom checks that, when more requests are expected than fit, each head gets
+// exactly as many as its headroom.
+func TestSurgeIsRejectedByHeadroom(t *testing.T) {
 	heads := []Head{{Load: 30, Most: 40, Ends: 10}, {Load: 90, Most: 40, Ends: 10}, {Load: 40, Most: 40, Ends: 5}}
 	shares := Shares(heads, 100)
 	for i, want := range []float64{0.2, 0, 0.05} {
@@ -43,9 +44,9 @@
 	}
 }
 
-// TestSharesKeepToTheRoom: shares are parts of a whole; all are taken while there is room, and no head
-// is expected to get more than fits.
-func TestSharesKeepToTheRoom(t *testing.T) {
+// TestSharesKeepToTheHeadroom checks that shares are never negative and add up to at most 1, that all
+// requests are admitted while there is headroom, and that no head is expected to get more than its headroom.
+func TestSharesKeepToTheHeadroom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heads := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Head {
 			load := rapid.Float64Range(0, 200).Draw(t, "load")
@@ -53,36 +54,37 @@
 		}), 1, 20).Draw(t, "heads")
 		expected := rapid.Float64Range(0, 500).Draw(t, "expected")
 		shares := Shares(heads, expected)
-		total, room := sum(shares), Room(heads)
+		total, headroom := sum(shares), Room(heads)
 		if total > 1+1e-9 || math.IsNaN(total) {
 			t.Fatalf("shares sum up to %v", total)
 		}
-		if room > max(expected, 1) && math.Abs(total-1) > 1e-6 {
-			t.Fatalf("%.3f are taken of %.1f, with room for %.1f", total, expected, room)
+		if headroom > max(expected, 1) && math.Abs(total-1) > 1e-6 {
+			t.Fatalf("a share of %.3f of %.1f requests is admitted, headroom %.1f", total, expected, headroom)
 		}
 		for i, s := range shares {
-			if s < 0 || s*max(expected, 1) > heads[i].room()+1e-6 {
-				t.Fatalf("head %d gets %.2f of %.1f, with room for %.2f", i, s, expected, heads[i].room())
+			if s < 0 || s*max(expected, 1) > heads[i].headroom()+1e-6 {
+				t.Fatalf("head %d gets a share of %.2f of %.1f requests, headroom %.2f", i, s, expected, heads[i].headroom())
 			}
 		}
 	})
 }
 
-// TestRateFollowsACrowd: the rate comes to a new one within some seconds, and falls while nobody comes.
-func TestRateFollowsACrowd(t *testing.T) {
+// TestRateFollowsALoadSurge checks that the measured rate reaches a new arrival rate within a few seconds,
+// and falls while no requests arrive.
+func TestRateFollowsALoadSurge(t *testing.T) {
 	var r Rate
 	now := time.Unix(1000, 0)
 	if v := r.Value(now); v != 0 {
-		t.Errorf("%.1f a second before anybody came", v)
+		t.Errorf("%.1f requests/s before the first request", v)
 	}
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
 		r.Add(now)
 	}
 	if v := r.Value(now); v < 90 || v > 105 {
-		t.Errorf("%.1f a second, expected 100", v)
+		t.Errorf("%.1f requests/s, expected 100", v)
 	}
 	if v := r.Value(now.Add(3 * time.Second)); v > 6 {
-		t.Errorf("%.1f a second after 3 s of silence", v)
+		t.Errorf("%.1f requests/s after 3 s without requests", v)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -380,7 +380,7 @@
 mutant "idle connections have no bound" internal/daemon/daemon.go \
   's/MaxIdleConns:        mostIdle,//' ./internal/daemon TestIdleConnectionsAreBounded
 mutant "heads are filled beyond their room" internal/spread/spread.go \
-  's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
+  's/return min\(max\(level-h\.remaining\(\), 0\), h\.headroom\(\)\)/return max(level-h.remaining(), 0)/' ./internal/spread TestSharesKeepToTheHeadroom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
   's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
