--- a/internal/routing/rest_test.go
+++ b/internal/routing/rest_test.go
@@ -7,8 +7,9 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// TestRestingUpstreamIsNotChosen: an upstream that refuses all requests looks idle, and drew more.
-func TestRestingUpstreamIsNotChosen(t *testing.T) {
+// TestBackingOffUpstreamIsNotChosen guards against choosing an upstream that asks clients to back off:
+// because it refuses all requests it looks idle, and would attract more of them.
+func TestBackingOffUpstreamIsNotChosen(t *testing.T) {
 	now := time.Now()
 	tracker := NewTracker()
 	ups := []view.Upstream{{ID: "a", Slots: 1, Until: now.Add(time.Minute)}, {ID: "b", Slots: 1, InFlight: 8, Until: now.Add(time.Minute)}}
@@ -20,14 +21,14 @@
 		return ups[i].ID
 	}
 	if got := chosen(now); got != "a" {
-		t.Fatalf("%q was chosen of an idle and a full upstream", got)
+		t.Fatalf("%q was chosen from an idle upstream a and a full upstream b", got)
 	}
 	tracker.Rest(now, "a", 3*time.Second)
 	tracker.Rest(now, "a", time.Second)
 	if got := chosen(now.Add(2 * time.Second)); got != "b" {
-		t.Errorf("%q was chosen while a rests", got)
+		t.Errorf("%q was chosen while a asks for backoff", got)
 	}
 	if got := chosen(now.Add(3 * time.Second)); got != "a" {
-		t.Errorf("%q was chosen after a's rest", got)
+		t.Errorf("%q was chosen after a's backoff", got)
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing picks the upstream of a request: filter, score, pick. The
-// decision is pure; what is learned from outcomes is kept by Tracker.
+// Package routing chooses the upstream for a request in three steps: filter, score
+// and pick. The decision is pure; Tracker holds what is learned from outcomes.
 package routing
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// Candidate is one upstream with what this entry knows of it.
+// Candidate is one upstream with this entry's statistics about it.
 type Candidate struct {
 	view.Upstream
 	// Own is the number of this entry's requests in flight there.
@@ -18,25 +18,25 @@
 	// Slowness is the upstream's smoothed time for a request as a multiple of
 	// its peers' median; zero when unknown.
 	Slowness float64
-	// Ejected is true while the upstream is left out for failing or being slow.
+	// Ejected is true while the upstream is ejected for failures or slowness.
 	Ejected bool
-	// Resting is true while the upstream has asked this entry for no requests.
+	// Resting is true while the upstream asks this entry to back off.
 	Resting bool
-	// HasPrefix is the part of the prompt, 0 to 1, believed to be in its cache.
+	// HasPrefix is the estimated fraction of the prompt, 0 to 1, in the upstream's cache.
 	HasPrefix float64
 }
 
-// Request is what routing looks at.
+// Request holds the properties of a request that the routing decision depends on.
 type Request struct {
 	Now time.Time
 	// Affinity is the hash of the prompt's first block, or a random number for
-	// a request without a prompt. Equal scores go by it.
+	// a request without a prompt. It breaks ties between equal scores.
 	Affinity uint64
 	// Tried holds the IDs of upstreams that already refused the request.
 	Tried map[string]bool
 }
 
-// Filter takes out upstreams that must not or cannot take the request.
+// Filter removes upstreams that cannot or must not serve the request.
 type Filter interface {
 	// Keep reports whether the candidate stays. It must not block.
 	Keep(r Request, c Candidate) bool
@@ -45,16 +45,17 @@
 // Scorer estimates the cost of sending the request to a candidate, in
 // seconds to the first token; lower is better.
 type Scorer interface {
+	// Score returns the candidate's cost; all are the candidates that the filters kept.
 	Score(r Request, c Candidate, all []Candidate) float64
 }
 
-// Picker chooses among the candidates that the filters left.
+// Picker chooses among the candidates that the filters kept.
 type Picker interface {
 	// Pick returns the index of the chosen candidate; scores has the same length.
 	Pick(r Request, cs []Candidate, scores []float64) int
 }
 
-// TrustFilter keeps upstreams that were seen whole recently enough and have
+// TrustFilter keeps upstreams that were reported healthy recently enough and have
 // not yet refused this request.
 type TrustFilter struct{}
 
@@ -63,23 +64,24 @@
 	return r.Now.Before(c.Until) && !r.Tried[c.ID]
 }
 
-// RestFilter keeps upstreams that have not asked this entry for rest.
+// RestFilter keeps upstreams that have not asked this entry to back off.
 type RestFilter struct{}
 
 // Keep implements Filter.
 func (RestFilter) Keep(_ Request, c Candidate) bool { return !c.Resting }
 
 // ExpectedFirstTokenScorer estimates the time to the first token: the wait for
-// a slot, from the entry's own requests in flight and the upstream's lagging
-// report, and the reading of the part of the prompt that is not in its cache.
-// Both are scaled by how slow the upstream is beside its peers.
+// a slot, from this entry's requests in flight and the upstream's lagging report,
+// and the prefill of the part of the prompt that is not cached. Both are scaled by
+// how slow the upstream is relative to its peers.
 type ExpectedFirstTokenScorer struct {
 	// ServiceTime is how long a request holds a slot.
 	ServiceTime time.Duration
 	// Prefill is the time to read a prompt that is not in the cache.
 	Prefill time.Duration
-	// Crowding is the extra cost of a full upstream that has no queue yet, so
-	// that load spreads before queues form.
+	// Crowding is the extra cost of a full upstream that has no queue yet. A partly
+	// used upstream gets a proportional part of it, so that load spreads before
+	// queues form.
 	Crowding time.Duration
 }
 
@@ -88,18 +90,18 @@
 	load := max(c.InFlight+c.Queued, c.Own)
 	perSlot := s.ServiceTime.Seconds() / float64(c.Slots)
 	wait := float64(max(load+1-c.Slots, 0)) * perSlot
-	crowd := s.Crowding.Seconds() * min(float64(load)/float64(c.Slots), 1)
+	loadCost := s.Crowding.Seconds() * min(float64(load)/float64(c.Slots), 1)
 	prefill := s.Prefill.Seconds() * (1 - c.HasPrefix)
-	return (wait + crowd + prefill) * max(c.Slowness, 1)
+	return (wait + loadCost + prefill) * max(c.Slowness, 1)
 }
 
-// LowestScorePicker picks the lowest score; equal scores go by rendezvous
-// hash of the prompt, so that equal prompts meet at one upstream.
+// LowestScorePicker picks the lowest score. It breaks ties by rendezvous hash of
+// the prompt, so that equal prompts are sent to the same upstream.
 type LowestScorePicker struct {
-	// Margin is the part by which a score may be above the lowest and still
+	// Margin is the fraction by which a score may exceed the lowest and still
 	// count as equal.
 	Margin float64
-	// Noise is the difference in seconds below which scores count as equal.
+	// Noise is the difference, in seconds, up to which scores count as equal.
 	Noise float64
 }
 
@@ -123,7 +125,7 @@
 	return best
 }
 
-// Policy is a whole routing decision.
+// Policy combines the three steps of a routing decision.
 type Policy struct {
 	Filters []Filter
 	Scorer  Scorer
@@ -140,9 +142,10 @@
 	return p.choose(r, cs, true)
 }
 
+// choose considers only candidates whose Ejected equals ejected.
 func (p Policy) choose(r Request, cs []Candidate, ejected bool) int {
 	var kept []Candidate
-	var index []int
+	var index []int // of kept candidates in cs
 	for i, c := range cs {
 		if c.Ejected != ejected || !p.keep(r, c) {
 			continue
@@ -169,7 +172,7 @@
 	return true
 }
 
-// DefaultPolicy is the policy of the entries.
+// DefaultPolicy returns the policy that entries use.
 func DefaultPolicy(serviceTime time.Duration) Policy {
 	const (
 		prefill  = 200 * time.Millisecond
@@ -184,6 +187,7 @@
 	}
 }
 
+// rendezvous returns the rendezvous hash of a key and an upstream's ID.
 func rendezvous(key uint64, id string) uint64 {
 	var prefix [8]byte
 	for i := range prefix {
--- a/internal/routing/tracker.go
+++ b/internal/routing/tracker.go
@@ -12,63 +12,70 @@
 )
 
 const (
-	// timeSmoothing is the weight of the newest time in the average.
-	timeSmoothing = 0.1
-	// timesToJudge is how many requests an upstream must have finished before
-	// its time is compared with its peers'.
-	timesToJudge = 8
-	// failuresToEject is how many failures in a row eject an upstream.
+	// durationSmoothing is the weight of the newest request duration in the average.
+	durationSmoothing = 0.1
+	// minDurations is how many requests an upstream must have finished before
+	// its average duration is compared with its peers'.
+	minDurations = 8
+	// failuresToEject is how many consecutive failures eject an upstream.
 	failuresToEject = 3
-	// slowFactor is how many times the median marks an upstream as slow.
+	// slowFactor is the multiple of the median duration from which on an upstream
+	// counts as slow.
 	slowFactor = 3
-	// ejectionBase is the first ejection's length; it doubles each time.
+	// ejectionBase is the duration of the first ejection; it doubles each time.
 	ejectionBase = 2 * time.Second
-	// ejectionMax bounds an ejection's length.
+	// ejectionMax bounds the duration of an ejection.
 	ejectionMax = 60 * time.Second
-	// maxEjectedShare is the part of a service's upstreams that may be out at once.
+	// maxEjectedShare is the maximum fraction of a service's upstreams that may be
+	// ejected at once.
 	maxEjectedShare = 0.5
-	// prefixMemory is how many prompt blocks are remembered.
-	prefixMemory = 8192
+	// maxPrefixes is the capacity of the cache of prompt blocks.
+	maxPrefixes = 8192
 	// blockBytes is the length of a prompt block for prefix matching.
 	blockBytes = 256
-	// maxBlocks bounds the blocks of one prompt that are looked at.
+	// maxBlocks is the maximum number of blocks hashed per prompt.
 	maxBlocks = 16
-	// retryShare is the part of the traffic that may be retries.
+	// retryShare is the fraction of the traffic that may be retries.
 	retryShare = 0.1
-	// retryReserve is how many retries may come at once.
-	retryReserve = 10
+	// retryBurst is the maximum number of retries at once.
+	retryBurst = 10
 )
 
+// stats holds what was learned of one upstream.
 type stats struct {
-	own int
-	// took is the smoothed time of a request, times how many it is made of.
-	took         time.Duration
-	times        int
+	inFlight int
+	// duration is the smoothed duration of a request, durations the number of
+	// requests that it was computed from.
+	duration  time.Duration
+	durations int
+	// failures counts consecutive failures.
 	failures     int
 	ejections    int
 	ejectedUntil time.Time
-	restsUntil   time.Time
+	backoffUntil time.Time
 }
 
-// Tracker learns from outcomes. It is not safe for concurrent use; its owner
-// holds a lock.
+// Tracker collects statistics of upstreams from the outcomes of requests. It is not
+// safe for concurrent use; its owner holds a lock.
 type Tracker struct {
 	upstreams map[string]*stats
-	prefixes  *lru.Cache[uint64, string]
-	retries   float64
+	// prefixes maps the hash of a prompt block to the upstream that it was last sent to.
+	prefixes *lru.Cache[uint64, string]
+	// retryTokens is the number of retries that the retry budget allows now.
+	retryTokens float64
 }
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns a tracker without statistics and with a full retry budget.
 func NewTracker() *Tracker {
-	prefixes, _ := lru.New[uint64, string](prefixMemory)
+	prefixes, _ := lru.New[uint64, string](maxPrefixes)
 	return &Tracker{
-		upstreams: make(map[string]*stats),
-		prefixes:  prefixes,
-		retries:   retryReserve,
+		upstreams:   make(map[string]*stats),
+		prefixes:    prefixes,
+		retryTokens: retryBurst,
 	}
 }
 
-// Blocks hashes a prompt's blocks, each together with all before it.
+// Blocks hashes a prompt's blocks, each together with all blocks before it.
 func Blocks(prompt []byte) []uint64 {
 	var out []uint64
 	d := xxhash.New()
@@ -81,7 +88,7 @@
 	return out
 }
 
-// Candidates joins the upstreams with what was learned of them.
+// Candidates combines the upstreams with their statistics.
 func (t *Tracker) Candidates(now time.Time, ups []view.Upstream, blocks []uint64) []Candidate {
 	out := make([]Candidate, len(ups))
 	median := t.median(ids(ups))
@@ -89,18 +96,18 @@
 		s := t.stats(u.ID)
 		out[i] = Candidate{
 			Upstream:  u,
-			Own:       s.own,
+			Own:       s.inFlight,
 			Slowness:  s.slowness(median),
 			Ejected:   now.Before(s.ejectedUntil),
-			Resting:   now.Before(s.restsUntil),
-			HasPrefix: t.cached(u.ID, blocks),
+			Resting:   now.Before(s.backoffUntil),
+			HasPrefix: t.cachedShare(u.ID, blocks),
 		}
 	}
 	return out
 }
 
-// cached estimates the part of the prompt that the upstream has cached.
-func (t *Tracker) cached(id string, blocks []uint64) float64 {
+// cachedShare estimates the fraction of the prompt that the upstream has cached.
+func (t *Tracker) cachedShare(id string, blocks []uint64) float64 {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		owner, ok := t.prefixes.Peek(blocks[i])
 		if ok && owner == id {
@@ -110,10 +117,10 @@
 	return 0
 }
 
-// Begin notes that a request goes to the upstream.
+// Begin records that a request is sent to the upstream.
 func (t *Tracker) Begin(id string, blocks []uint64) {
-	t.stats(id).own++
-	t.retries = min(t.retries+retryShare, retryReserve)
+	t.stats(id).inFlight++
+	t.retryTokens = min(t.retryTokens+retryShare, retryBurst)
 	for _, b := range blocks {
 		t.prefixes.Add(b, id)
 	}
@@ -127,44 +134,45 @@
 	return out
 }
 
+// slowness returns the upstream's duration as a multiple of the median; zero when unknown.
 func (s *stats) slowness(median time.Duration) float64 {
-	if median == 0 || s.times < timesToJudge {
+	if median == 0 || s.durations < minDurations {
 		return 0
 	}
-	return float64(s.took) / float64(median)
+	return float64(s.duration) / float64(median)
 }
 
-// median is the median time of the upstreams that can be judged; zero when
-// fewer than three can.
+// median returns the median duration over the upstreams that have finished enough
+// requests; zero when there are fewer than three of them.
 func (t *Tracker) median(peers []string) time.Duration {
-	const fewest = 3
-	var known []time.Duration
+	const minUpstreams = 3
+	var durations []time.Duration
 	for _, p := range peers {
-		if s := t.stats(p); s.times >= timesToJudge {
-			known = append(known, s.took)
+		if s := t.stats(p); s.durations >= minDurations {
+			durations = append(durations, s.duration)
 		}
 	}
-	if len(known) < fewest {
+	if len(durations) < minUpstreams {
 		return 0
 	}
-	sort.Slice(known, func(i, j int) bool { return known[i] < known[j] })
-	return known[(len(known)-1)/2]
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	return durations[(len(durations)-1)/2]
 }
 
-// Took notes how long a whole request took at the upstream.
-func (t *Tracker) Took(id string, took time.Duration) {
+// Took records the duration of a complete request at the upstream.
+func (t *Tracker) Took(id string, elapsed time.Duration) {
 	s := t.stats(id)
-	s.times++
-	// The first few count equally, so that one odd request says little.
-	weight := max(timeSmoothing, 1/float64(s.times))
-	s.took += time.Duration(weight * float64(took-s.took))
+	s.durations++
+	// The first few durations count equally, so that one outlier has little weight.
+	weight := max(durationSmoothing, 1/float64(s.durations))
+	s.duration += time.Duration(weight * float64(elapsed-s.duration))
 }
 
-// End notes a request's end. It reports whether the upstream is now ejected;
+// End records the end of a request. It reports whether this ejects the upstream;
 // peers are the IDs of all upstreams of the service.
 func (t *Tracker) End(now time.Time, id string, failed bool, peers []string) bool {
 	s := t.stats(id)
-	s.own = max(s.own-1, 0)
+	s.inFlight = max(s.inFlight-1, 0)
 	if !failed {
 		s.failures = 0
 		return t.ejectSlow(now, id, peers)
@@ -176,7 +184,7 @@
 	return t.eject(now, id, peers)
 }
 
-// ejectSlow ejects an upstream that takes several times as long as its peers.
+// ejectSlow ejects an upstream whose requests take several times as long as its peers'.
 func (t *Tracker) ejectSlow(now time.Time, id string, peers []string) bool {
 	if t.stats(id).slowness(t.median(peers)) < slowFactor {
 		return false
@@ -184,46 +192,49 @@
 	return t.eject(now, id, peers)
 }
 
+// eject ejects the upstream unless it is ejected already or too many of its peers are.
 func (t *Tracker) eject(now time.Time, id string, peers []string) bool {
-	out := 0
+	ejected := 0
 	for _, p := range peers {
 		if now.Before(t.stats(p).ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
 	s := t.stats(id)
-	if now.Before(s.ejectedUntil) || float64(out+1) > maxEjectedShare*float64(len(peers)) {
+	if now.Before(s.ejectedUntil) || float64(ejected+1) > maxEjectedShare*float64(len(peers)) {
 		return false
 	}
-	length := min(ejectionBase<<min(s.ejections, 5), ejectionMax)
+	duration := min(ejectionBase<<min(s.ejections, 5), ejectionMax)
 	s.ejections++
 	s.failures = 0
-	// The next try after the ejection starts without the old bad average.
-	s.took, s.times = 0, 0
-	s.ejectedUntil = now.Add(length)
+	// The average starts anew after the ejection, without the durations from before it.
+	s.duration, s.durations = 0, 0
+	s.ejectedUntil = now.Add(duration)
 	return true
 }
 
-// Rest notes that an upstream wants no request of this entry for so long.
-func (t *Tracker) Rest(now time.Time, id string, rest time.Duration) {
+// Rest records that an upstream asks this entry to back off for a time.
+func (t *Tracker) Rest(now time.Time, id string, backoff time.Duration) {
 	s := t.stats(id)
-	if until := now.Add(min(rest, backpressure.LongestRest)); until.After(s.restsUntil) {
-		s.restsUntil = until
+	if until := now.Add(min(backoff, backpressure.LongestRest)); until.After(s.backoffUntil) {
+		s.backoffUntil = until
 	}
 }
 
-// TakeRetry reports whether the retry budget allows one more retry.
+// TakeRetry takes one retry from the retry budget. It returns false if the budget is
+// used up.
 func (t *Tracker) TakeRetry() bool {
-	if t.retries < 1 {
+	if t.retryTokens < 1 {
 		return false
 	}
-	t.retries--
+	t.retryTokens--
 	return true
 }
 
-// Own returns this entry's requests in flight at the upstream.
-func (t *Tracker) Own(id string) int { return t.stats(id).own }
+// Own returns the number of this entry's requests in flight at the upstream.
+func (t *Tracker) Own(id string) int { return t.stats(id).inFlight }
 
+// stats returns the statistics of an upstream, which it creates on first use.
 func (t *Tracker) stats(id string) *stats {
 	s := t.upstreams[id]
 	if s == nil {
@@ -233,10 +244,11 @@
 	return s
 }
 
-// Keep forgets all upstreams but those named, so that memory follows the fleet.
+// Keep removes the statistics of all upstreams that are not in ids and have no request
+// in flight, so that memory use follows the size of the fleet.
 func (t *Tracker) Keep(ids map[string]bool) {
 	for id, s := range t.upstreams {
-		if !ids[id] && s.own == 0 {
+		if !ids[id] && s.inFlight == 0 {
 			delete(t.upstreams, id)
 		}
 	}
