--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -6,27 +6,29 @@
 	"golang.org/x/time/rate"
 )
 
-// Limit is a bound in force for one subject (a team, or a team at a service).
+// Limit holds the bounds in force for one subject (a team, or a team at a service).
 type Limit struct {
-	// Rate is this entry's share in requests per second; 0 is no bound.
+	// Rate is this entry's share in requests per second; 0 means no bound.
 	Rate float64
-	// Concurrency bounds the requests in flight at this entry; 0 is no bound.
+	// Concurrency bounds the requests in flight at this entry; 0 means no bound.
 	Concurrency int
 }
 
-// burstSeconds is how many seconds of a rate may come at once.
+// burstSeconds is the burst size, in seconds' worth of the rate.
 const burstSeconds = 0.25
 
+// bucket holds the token bucket and the requests in flight of one subject.
 type bucket struct {
 	limiter  *rate.Limiter
 	limit    Limit
 	inFlight int
-	// nextReturn spreads the come-back times of refused requests.
-	nextReturn time.Time
+	// nextRetryAt is the latest retry time given to a refused request; it spreads
+	// the retries over time.
+	nextRetryAt time.Time
 }
 
-// Limiter holds the rate and concurrency of each subject at one entry. It is
-// not safe for concurrent use; its owner holds a lock.
+// Limiter enforces the rate and concurrency limits of each subject at one entry. It
+// is not safe for concurrent use; its owner holds a lock.
 type Limiter struct {
 	buckets map[string]*bucket
 }
@@ -36,29 +38,29 @@
 	return &Limiter{buckets: make(map[string]*bucket)}
 }
 
-// Take charges one request to the subject, or returns why not. A nil Refusal
-// obliges the caller to call Done once.
+// Take charges one request to the subject, or returns the reason for refusing it.
+// After a nil Refusal, the caller must call Done or Refund once.
 func (l *Limiter) Take(now time.Time, subject string, limit Limit) *Refusal {
 	b := l.bucket(now, subject, limit)
 	if limit.Concurrency > 0 && b.inFlight >= limit.Concurrency {
 		return &Refusal{Reason: OverConc, RetryAfter: minRetryAfter + initialServiceTime}
 	}
 	if limit.Rate > 0 && !b.limiter.AllowN(now, 1) {
-		return &Refusal{Reason: OverRate, RetryAfter: b.comeBack(now)}
+		return &Refusal{Reason: OverRate, RetryAfter: b.retryAfter(now)}
 	}
 	b.inFlight++
 	return nil
 }
 
-// Done ends a request charged by Take.
+// Done releases the concurrency that Take charged for a request.
 func (l *Limiter) Done(subject string) {
 	if b := l.buckets[subject]; b != nil && b.inFlight > 0 {
 		b.inFlight--
 	}
 }
 
-// Refund gives back what Take charged for a request that was refused later on
-// the way, so that the refusal doesn't count against the team's rate.
+// Refund returns what Take charged for a request that was refused at a later step,
+// so that the refusal doesn't count against the team's rate.
 func (l *Limiter) Refund(now time.Time, subject string) {
 	l.Done(subject)
 	b := l.buckets[subject]
@@ -68,6 +70,7 @@
 	b.limiter.AllowN(now, -1)
 }
 
+// bucket returns the subject's bucket, adjusted to the limit in force.
 func (l *Limiter) bucket(now time.Time, subject string, limit Limit) *bucket {
 	b := l.buckets[subject]
 	if b == nil {
@@ -90,14 +93,16 @@
 	return b
 }
 
-func (b *bucket) comeBack(now time.Time) time.Duration {
-	per := time.Duration(float64(time.Second) / b.limit.Rate)
-	if earliest := now.Add(minRetryAfter); b.nextReturn.Before(earliest) {
-		b.nextReturn = earliest
+// retryAfter returns a later retry time for each refused request, one interval of the
+// rate after the last.
+func (b *bucket) retryAfter(now time.Time) time.Duration {
+	interval := time.Duration(float64(time.Second) / b.limit.Rate)
+	if earliest := now.Add(minRetryAfter); b.nextRetryAt.Before(earliest) {
+		b.nextRetryAt = earliest
 	}
-	b.nextReturn = b.nextReturn.Add(per)
-	if limit := now.Add(maxRetryAfter); b.nextReturn.After(limit) {
-		b.nextReturn = limit
+	b.nextRetryAt = b.nextRetryAt.Add(interval)
+	if limit := now.Add(maxRetryAfter); b.nextRetryAt.After(limit) {
+		b.nextRetryAt = limit
 	}
-	return b.nextReturn.Sub(now)
+	return b.nextRetryAt.Sub(now)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,7 +1,8 @@
-// Package admission decides in order of worth who is served: priority first,
-// then weighted fair share among teams. A request that cannot be served in
-// time, is over its limit or gives way to a worthier one is refused at once,
-// with the time to come back. The package reads no clock: time comes in.
+// Package admission decides which requests are served: those of higher priority
+// first, and within a priority by weighted fair queueing among teams. A request
+// that cannot be served before its deadline, exceeds its limit or is displaced by
+// one that ranks higher is refused at once, with a time after which to retry. The
+// package reads no clock: callers pass the time.
 package admission
 
 import (
@@ -9,10 +10,10 @@
 	"time"
 )
 
-// Reason says why a request was refused. It is the code that callers see.
+// Reason is the reason why a request was refused. Callers receive it as the error code.
 type Reason string
 
-// The reasons.
+// The reasons for a refusal.
 const (
 	Displaced     Reason = "displaced"
 	QueueFull     Reason = "queue-full"
@@ -23,24 +24,24 @@
 	Stopping      Reason = "stopping"
 )
 
-// Refusal is a final answer: the request did not run.
+// Refusal describes a refused request, which did not run at any upstream.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when to come back.
+	// RetryAfter is the time that the caller should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// Request is what admission looks at.
+// Request holds the properties of a request that the admission decision depends on.
 type Request struct {
 	Team string
-	// Weight is the team's share; at least 1.
+	// Weight is the team's weight in the fair share; at least 1.
 	Weight int
-	// Priority is 0 to 9; higher is worthier.
+	// Priority is 0 to 9; higher priorities are served first.
 	Priority int
 	Deadline time.Time
 }
 
-// State is a ticket's stage.
+// State is the state of a ticket.
 type State uint8
 
 // The states of a ticket.
@@ -51,7 +52,7 @@
 	Done
 )
 
-// Ticket follows one request through a queue. Its fields belong to the queue
+// Ticket tracks one request through a queue. Its fields belong to the queue
 // until it leaves the Waiting state.
 type Ticket struct {
 	Request Request
@@ -60,23 +61,26 @@
 	// Ready is closed when the ticket leaves the Waiting state.
 	Ready chan struct{}
 
-	start float64
-	begun time.Time
-	seq   uint64
+	virtualStart float64
+	startedAt    time.Time
+	// seq is the order of arrival.
+	seq uint64
 }
 
-// team is one team's place in the fair share of one priority.
+// teamQueue holds one team's waiting requests of one priority, in order of arrival,
+// and the team's state in the fair queueing.
 type teamQueue struct {
-	waiting []*Ticket
-	finish  float64
-	weight  int
+	waiting       []*Ticket
+	virtualFinish float64
+	weight        int
 }
 
-// level holds the waiting requests of one priority.
+// level holds the waiting requests of one priority. Its teams share the slots by
+// start-time fair queueing on a virtual clock.
 type level struct {
-	teams   map[string]*teamQueue
-	virtual float64
-	waiting int
+	teams       map[string]*teamQueue
+	virtualTime float64
+	waiting     int
 }
 
 const (
@@ -85,28 +89,29 @@
 	initialServiceTime = 100 * time.Millisecond
 	// smoothing is the weight of the newest service time in the average.
 	smoothing = 0.1
-	// minRetryAfter keeps refused callers from hammering.
+	// minRetryAfter keeps refused callers from retrying in a tight loop.
 	minRetryAfter = 50 * time.Millisecond
-	// maxRetryAfter bounds what callers are told.
+	// maxRetryAfter bounds the retry time sent to callers.
 	maxRetryAfter = 60 * time.Second
 )
 
 // Queue admits the requests of one service at one entry. It is not safe for
 // concurrent use; its owner holds a lock.
 type Queue struct {
-	capacity int
-	bound    int
-	running  int
-	waiting  int
-	levels   [priorities]level
-	seq      uint64
+	capacity   int
+	maxWaiting int
+	running    int
+	waiting    int
+	levels     [priorities]level
+	// seq is the number of requests offered so far.
+	seq uint64
 	// serviceTime is the smoothed time that a request holds its slot.
 	serviceTime time.Duration
 	// lastFinish is when a slot was last freed; zero before the first.
 	lastFinish time.Time
-	// nextReturn spreads the come-back times of refused requests, so that
-	// they don't all return at once.
-	nextReturn time.Time
+	// nextRetryAt is the latest retry time given to a refused request; it spreads
+	// the retries, so that callers don't all retry at once.
+	nextRetryAt time.Time
 }
 
 // NewQueue returns a queue with no capacity.
@@ -118,18 +123,18 @@
 	return q
 }
 
-// Resize sets how many requests run at once and how many may wait. It
-// returns the tickets that may run now.
-func (q *Queue) Resize(now time.Time, capacity, bound int) []*Ticket {
+// Resize sets how many requests may run at once and how many may wait. It
+// returns the tickets that start running.
+func (q *Queue) Resize(now time.Time, capacity, maxWaiting int) []*Ticket {
 	q.capacity = max(capacity, 0)
-	q.bound = max(bound, 0)
+	q.maxWaiting = max(maxWaiting, 0)
 	return q.dispatch(now)
 }
 
-// Running returns how many requests hold a slot.
+// Running returns the number of requests that hold a slot.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
 // Capacity returns how many requests may run at once.
@@ -138,8 +143,8 @@
 // ServiceTime returns the smoothed time that a request holds its slot.
 func (q *Queue) ServiceTime() time.Duration { return q.serviceTime }
 
-// Offer brings a request. The ticket is Running, Waiting or Refused; displaced
-// is a ticket that lost its place to it, already Refused, or nil.
+// Offer adds a request to the queue. The returned ticket is Running, Waiting or
+// Refused; displaced is the waiting ticket that it replaced, already Refused, or nil.
 func (q *Queue) Offer(now time.Time, r Request) (ticket, displaced *Ticket) {
 	q.seq++
 	t := &Ticket{Request: r, Ready: make(chan struct{}), seq: q.seq}
@@ -153,26 +158,26 @@
 		q.run(now, t)
 		return t, nil
 	}
-	if q.misses(now, t) {
+	if q.missesDeadline(now, t) {
 		q.refuse(now, t, DeadlineShort)
 		return t, nil
 	}
-	if q.waiting >= q.bound {
-		worst := q.worst()
-		if worst == nil || !q.worthier(t, worst) {
+	if q.waiting >= q.maxWaiting {
+		last := q.last()
+		if last == nil || !q.displaces(t, last) {
 			q.refuse(now, t, QueueFull)
 			return t, nil
 		}
-		q.remove(worst)
-		q.refuse(now, worst, Displaced)
-		displaced = worst
+		q.remove(last)
+		q.refuse(now, last, Displaced)
+		displaced = last
 	}
 	q.enqueue(t)
 	return t, displaced
 }
 
-// Finish frees the slot of a running ticket and returns the tickets that run
-// next. Refused tickets among those that waited are returned in refused.
+// Finish frees the slot of a running ticket. It returns the tickets that start
+// running, and the waiting tickets that it refused.
 func (q *Queue) Finish(now time.Time, t *Ticket) (next, refused []*Ticket) {
 	if t.State != Running {
 		return nil, nil
@@ -180,12 +185,12 @@
 	t.State = Done
 	q.running--
 	q.lastFinish = now
-	q.learn(now.Sub(t.begun))
+	q.learnServiceTime(now.Sub(t.startedAt))
 	refused = q.expire(now)
 	return q.dispatch(now), refused
 }
 
-// Abandon takes out a waiting ticket whose caller has gone.
+// Abandon removes a waiting ticket whose caller has disconnected.
 func (q *Queue) Abandon(t *Ticket) {
 	if t.State != Waiting {
 		return
@@ -195,7 +200,7 @@
 	close(t.Ready)
 }
 
-// Expire refuses waiting tickets that can no longer make their deadlines.
+// Expire refuses waiting tickets that can no longer meet their deadlines.
 func (q *Queue) Expire(now time.Time) []*Ticket { return q.expire(now) }
 
 // RefuseAll refuses all waiting tickets.
@@ -210,44 +215,46 @@
 	}
 }
 
-func (q *Queue) learn(took time.Duration) {
-	if took < 0 {
+// learnServiceTime updates the average service time with that of a finished request.
+func (q *Queue) learnServiceTime(elapsed time.Duration) {
+	if elapsed < 0 {
 		return
 	}
-	q.serviceTime += time.Duration(smoothing * float64(took-q.serviceTime))
+	q.serviceTime += time.Duration(smoothing * float64(elapsed-q.serviceTime))
 }
 
-// misses reports whether the request would be too late even if all goes as
-// the averages say.
-func (q *Queue) misses(now time.Time, t *Ticket) bool {
+// missesDeadline reports whether the request is expected to get a slot only after
+// its deadline.
+func (q *Queue) missesDeadline(now time.Time, t *Ticket) bool {
 	return now.Add(q.expectedWait(t.Request)).After(t.Request.Deadline)
 }
 
-// expectedWait estimates the time until a request of this worth gets a slot.
+// expectedWait estimates the time until a request of this priority and team gets a
+// slot.
 func (q *Queue) expectedWait(r Request) time.Duration {
 	ahead := 0.0
 	for p := priorities - 1; p > r.Priority; p-- {
 		ahead += float64(q.levels[p].waiting)
 	}
 	ahead += q.aheadInLevel(r)
-	return time.Duration((ahead + 1) * float64(q.perSlot()))
+	return time.Duration((ahead + 1) * float64(q.slotInterval()))
 }
 
-// perSlot is the expected time between two slots that become free.
-func (q *Queue) perSlot() time.Duration {
+// slotInterval returns the expected time between two slots that become free.
+func (q *Queue) slotInterval() time.Duration {
 	return q.serviceTime / time.Duration(max(q.capacity, 1))
 }
 
-// aheadInLevel counts, by weights, the requests of the same priority that the
-// fair share serves before a new one of this team.
+// aheadInLevel estimates, from the teams' weights, how many waiting requests of the
+// same priority are served before a new request of this team.
 func (q *Queue) aheadInLevel(r Request) float64 {
 	l := &q.levels[r.Priority]
-	own := 0
+	teamWaiting := 0
 	if tq := l.teams[r.Team]; tq != nil {
-		own = len(tq.waiting)
+		teamWaiting = len(tq.waiting)
 	}
-	rounds := float64(own+1) / float64(r.Weight)
-	ahead := float64(own)
+	rounds := float64(teamWaiting+1) / float64(r.Weight)
+	ahead := float64(teamWaiting)
 	for name, tq := range l.teams {
 		if name == r.Team {
 			continue
@@ -257,23 +264,27 @@
 	return ahead
 }
 
+// run gives the ticket a slot.
 func (q *Queue) run(now time.Time, t *Ticket) {
 	q.charge(t)
 	q.running++
-	t.begun = now
+	t.startedAt = now
 	t.State = Running
 	close(t.Ready)
 }
 
-// charge advances the team's virtual finish time by the request's cost.
+// charge advances the team's virtual finish time by the cost of one request, which is
+// the inverse of the team's weight.
 func (q *Queue) charge(t *Ticket) {
 	l := &q.levels[t.Request.Priority]
 	tq := l.team(t.Request)
-	t.start = math.Max(l.virtual, tq.finish)
-	tq.finish = t.start + 1/float64(t.Request.Weight)
-	l.virtual = math.Max(l.virtual, t.start)
+	t.virtualStart = math.Max(l.virtualTime, tq.virtualFinish)
+	tq.virtualFinish = t.virtualStart + 1/float64(t.Request.Weight)
+	l.virtualTime = math.Max(l.virtualTime, t.virtualStart)
 }
 
+// team returns the request's team queue, which it creates on first use, with the
+// request's weight.
 func (l *level) team(r Request) *teamQueue {
 	tq := l.teams[r.Team]
 	if tq == nil {
@@ -284,6 +295,7 @@
 	return tq
 }
 
+// enqueue adds the ticket to its team's waiting tickets.
 func (q *Queue) enqueue(t *Ticket) {
 	l := &q.levels[t.Request.Priority]
 	tq := l.team(t.Request)
@@ -293,6 +305,7 @@
 	t.State = Waiting
 }
 
+// remove takes the ticket out of its team's waiting tickets.
 func (q *Queue) remove(t *Ticket) {
 	l := &q.levels[t.Request.Priority]
 	tq := l.teams[t.Request.Team]
@@ -306,50 +319,55 @@
 	}
 }
 
+// refuse ends the ticket with a reason and a retry time.
 func (q *Queue) refuse(now time.Time, t *Ticket, reason Reason) {
 	t.State = Refused
-	t.Refusal = Refusal{Reason: reason, RetryAfter: q.comeBack(now)}
+	t.Refusal = Refusal{Reason: reason, RetryAfter: q.retryAfter(now)}
 	close(t.Ready)
 }
 
-// comeBack promises each refused request its own later slot: the work ahead
-// must be done first, and those refused before it return first.
-func (q *Queue) comeBack(now time.Time) time.Duration {
-	perSlot := q.perSlot()
-	earliest := now.Add(time.Duration(q.waiting+1)*perSlot + minRetryAfter)
-	if q.nextReturn.Before(earliest) {
-		q.nextReturn = earliest
+// retryAfter returns a later retry time for each refused request: after the waiting
+// requests have been served, and after the requests that were refused before.
+func (q *Queue) retryAfter(now time.Time) time.Duration {
+	interval := q.slotInterval()
+	earliest := now.Add(time.Duration(q.waiting+1)*interval + minRetryAfter)
+	if q.nextRetryAt.Before(earliest) {
+		q.nextRetryAt = earliest
 	}
-	q.nextReturn = q.nextReturn.Add(perSlot)
-	if limit := now.Add(maxRetryAfter); q.nextReturn.After(limit) {
-		q.nextReturn = limit
+	q.nextRetryAt = q.nextRetryAt.Add(interval)
+	if limit := now.Add(maxRetryAfter); q.nextRetryAt.After(limit) {
+		q.nextRetryAt = limit
 	}
-	return q.nextReturn.Sub(now)
+	return q.nextRetryAt.Sub(now)
 }
 
-// worst returns the waiting ticket of least worth: the lowest priority, there
-// the team with the most waiting for its weight, there the last to come.
-func (q *Queue) worst() *Ticket {
+// last returns the waiting ticket that ranks last: of the lowest priority, there of
+// the team with the most waiting requests relative to its weight, there the one that
+// arrived last.
+func (q *Queue) last() *Ticket {
 	for p := range q.levels {
 		l := &q.levels[p]
 		if l.waiting == 0 {
 			continue
 		}
-		var worst *teamQueue
+		var last *teamQueue
 		for _, tq := range l.teams {
-			if len(tq.waiting) > 0 && (worst == nil || tq.heavier(worst)) {
-				worst = tq
+			if len(tq.waiting) > 0 && (last == nil || tq.heavier(last)) {
+				last = tq
 			}
 		}
-		return worst.waiting[len(worst.waiting)-1]
+		return last.waiting[len(last.waiting)-1]
 	}
 	return nil
 }
 
+// load returns the team's waiting requests relative to its weight.
 func (tq *teamQueue) load() float64 {
 	return float64(len(tq.waiting)) / float64(tq.weight)
 }
 
+// heavier reports whether tq has the higher load, or at equal loads the request that
+// arrived last.
 func (tq *teamQueue) heavier(other *teamQueue) bool {
 	if tq.load() != other.load() {
 		return tq.load() > other.load()
@@ -357,23 +375,25 @@
 	return tq.waiting[len(tq.waiting)-1].seq > other.waiting[len(other.waiting)-1].seq
 }
 
-// worthier reports whether t takes the place of w.
-func (q *Queue) worthier(t, w *Ticket) bool {
+// displaces reports whether a new ticket t displaces the waiting ticket w: its priority
+// is higher, or at equal priorities its team's load stays below that of w's team.
+func (q *Queue) displaces(t, w *Ticket) bool {
 	if t.Request.Priority != w.Request.Priority {
 		return t.Request.Priority > w.Request.Priority
 	}
 	l := &q.levels[t.Request.Priority]
-	own := 0
+	teamWaiting := 0
 	if tq := l.teams[t.Request.Team]; tq != nil {
-		own = len(tq.waiting)
+		teamWaiting = len(tq.waiting)
 	}
-	return float64(own+1)/float64(t.Request.Weight) < l.teams[w.Request.Team].load()
+	return float64(teamWaiting+1)/float64(t.Request.Weight) < l.teams[w.Request.Team].load()
 }
 
+// dispatch starts waiting tickets while there are free slots, and returns them.
 func (q *Queue) dispatch(now time.Time) []*Ticket {
 	var out []*Ticket
 	for q.running < q.capacity && q.waiting > 0 {
-		t := q.best()
+		t := q.first()
 		q.remove(t)
 		q.run(now, t)
 		out = append(out, t)
@@ -381,41 +401,43 @@
 	return out
 }
 
-// best returns the worthiest waiting ticket: the highest priority, there the
-// team with the earliest virtual start, there the first to come.
-func (q *Queue) best() *Ticket {
+// first returns the waiting ticket that ranks first: of the highest priority, there of
+// the team with the earliest virtual start time, there the one that arrived first.
+func (q *Queue) first() *Ticket {
 	for p := priorities - 1; p >= 0; p-- {
 		l := &q.levels[p]
 		if l.waiting == 0 {
 			continue
 		}
-		var best *teamQueue
+		var first *teamQueue
 		for _, tq := range l.teams {
-			if len(tq.waiting) > 0 && (best == nil || l.earlier(tq, best)) {
-				best = tq
+			if len(tq.waiting) > 0 && (first == nil || l.earlier(tq, first)) {
+				first = tq
 			}
 		}
-		return best.waiting[0]
+		return first.waiting[0]
 	}
 	return nil
 }
 
+// earlier reports whether a has the earlier virtual start time, or at equal times the
+// request that arrived first.
 func (l *level) earlier(a, b *teamQueue) bool {
-	startA := math.Max(l.virtual, a.finish)
-	startB := math.Max(l.virtual, b.finish)
+	startA := math.Max(l.virtualTime, a.virtualFinish)
+	startB := math.Max(l.virtualTime, b.virtualFinish)
 	if startA != startB {
 		return startA < startB
 	}
 	return a.waiting[0].seq < b.waiting[0].seq
 }
 
-// expire refuses waiting tickets that can no longer make their deadlines, so
-// that none is kept waiting in vain. When no slot has become free for longer
-// than usual, the upstreams hang, and the pace is judged by that.
+// expire refuses waiting tickets that can no longer meet their deadlines, so that
+// none waits in vain. If all slots are in use and none has become free for longer
+// than the service time, the upstreams hang, and the slot interval is at least the excess.
 func (q *Queue) expire(now time.Time) []*Ticket {
-	pace := q.perSlot()
+	interval := q.slotInterval()
 	if !q.lastFinish.IsZero() && q.running >= q.capacity {
-		pace = max(pace, now.Sub(q.lastFinish)-q.serviceTime)
+		interval = max(interval, now.Sub(q.lastFinish)-q.serviceTime)
 	}
 	var out []*Ticket
 	ahead := 0
@@ -423,21 +445,22 @@
 		l := &q.levels[p]
 		waiting := l.waiting
 		for _, tq := range l.teams {
-			out = append(out, q.expireTeam(now, tq, ahead, pace)...)
+			out = append(out, q.expireTeam(now, tq, ahead, interval)...)
 		}
 		ahead += waiting
 	}
 	return out
 }
 
-// expireTeam looks at one team's tickets; ahead counts those of higher
-// priority. Other teams of the same priority are left out: a ticket is given
-// up only when even the best course is too late.
-func (q *Queue) expireTeam(now time.Time, tq *teamQueue, ahead int, pace time.Duration) []*Ticket {
+// expireTeam refuses tickets of one team that can no longer meet their deadlines;
+// ahead is the number of waiting requests of higher priority. Other teams of the same
+// priority are ignored: a ticket is refused only if it is too late even in the best
+// case.
+func (q *Queue) expireTeam(now time.Time, tq *teamQueue, ahead int, interval time.Duration) []*Ticket {
 	var out []*Ticket
 	for i := 0; i < len(tq.waiting); {
 		t := tq.waiting[i]
-		expected := time.Duration(ahead+i+1) * pace
+		expected := time.Duration(ahead+i+1) * interval
 		if !now.Add(expected).After(t.Request.Deadline) {
 			i++
 			continue
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -12,10 +12,10 @@
 
 var start = time.Unix(1e9, 0)
 
-// TestQueueAgainstOracle drives a queue at random and checks what must hold at
-// all times: no more run than there are slots, none waits while a slot is
-// free, nobody runs while a worthier request waits, each ticket ends once, and
-// every refusal names a time to come back.
+// TestQueueAgainstOracle performs random operations on a queue and checks its
+// invariants: no more requests run than there are slots, none waits while a slot is
+// free, none starts while a request of higher priority waits, each ticket
+// leaves the waiting state once and closes Ready, and every refusal has a retry time.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
@@ -39,11 +39,11 @@
 			}
 			return xs[rapid.IntRange(0, len(xs)-1).Draw(t, "ticket")]
 		}
-		checkBegun := func(t *rapid.T, begun []*Ticket) {
-			for _, b := range begun {
+		checkDispatched := func(t *rapid.T, dispatched []*Ticket) {
+			for _, d := range dispatched {
 				for _, w := range inState(Waiting) {
-					if w.Request.Priority > b.Request.Priority {
-						t.Fatalf("priority %d runs before %d", b.Request.Priority, w.Request.Priority)
+					if w.Request.Priority > d.Request.Priority {
+						t.Fatalf("priority %d starts before waiting priority %d", d.Request.Priority, w.Request.Priority)
 					}
 				}
 			}
@@ -65,7 +65,7 @@
 			"finish": func(t *rapid.T) {
 				if x := pick(t, Running); x != nil {
 					next, _ := q.Finish(now, x)
-					checkBegun(t, next)
+					checkDispatched(t, next)
 				}
 			},
 			"abandon": func(t *rapid.T) {
@@ -79,27 +79,27 @@
 			"expire": func(*rapid.T) { q.Expire(now) },
 			"resize": func(t *rapid.T) {
 				capacity = rapid.IntRange(0, 4).Draw(t, "capacity")
-				checkBegun(t, q.Resize(now, capacity, bound))
+				checkDispatched(t, q.Resize(now, capacity, bound))
 			},
 			"": func(t *rapid.T) {
 				running, waiting := inState(Running), inState(Waiting)
 				if len(running) != q.Running() || len(waiting) != q.Waiting() {
-					t.Fatalf("counts %d, %d for %d running, %d waiting", q.Running(), q.Waiting(), len(running), len(waiting))
+					t.Fatalf("Running() = %d and Waiting() = %d with %d tickets running and %d waiting", q.Running(), q.Waiting(), len(running), len(waiting))
 				}
 				if len(waiting) > bound || (len(waiting) > 0 && len(running) < capacity) {
 					t.Fatalf("%d wait (bound %d) while %d of %d run", len(waiting), bound, len(running), capacity)
 				}
 				for _, x := range all {
-					ended := x.State != Waiting
+					notified := x.State != Waiting
 					select {
 					case <-x.Ready:
 					default:
-						if ended {
-							t.Fatalf("ticket in state %d was not told", x.State)
+						if notified {
+							t.Fatalf("Ready of a ticket in state %d is not closed", x.State)
 						}
 					}
 					if x.State == Refused && x.Refusal.RetryAfter <= 0 {
-						t.Fatalf("refused as %s without a time to come back", x.Refusal.Reason)
+						t.Fatalf("refused as %s without a retry time", x.Refusal.Reason)
 					}
 				}
 			},
@@ -107,8 +107,8 @@
 	})
 }
 
-// TestHangingUpstreamsEndTheWait: when no slot becomes free any more, waiting
-// requests are refused long before their deadlines.
+// TestHangingUpstreamsEndTheWait checks that waiting requests are refused long before
+// their deadlines when slots stop becoming free.
 func TestHangingUpstreamsEndTheWait(t *testing.T) {
 	q := NewQueue()
 	q.Resize(start, 2, 10)
@@ -122,7 +122,7 @@
 	q.Finish(now, all[0])
 	q.Expire(now.Add(200 * time.Millisecond))
 	if q.Waiting() != 5 {
-		t.Fatalf("%d wait while all is well, want 5", q.Waiting())
+		t.Fatalf("%d wait while slots become free, want 5", q.Waiting())
 	}
 	now = now.Add(20 * time.Second)
 	q.Expire(now)
@@ -130,7 +130,7 @@
 		t.Errorf("%d still wait after 20 s without a free slot", q.Waiting())
 	}
 	if last := all[7]; last.State != Refused || last.Refusal.Reason != DeadlineShort {
-		t.Errorf("the last in the queue: %+v", last)
+		t.Errorf("the last request in the queue: %+v", last)
 	}
 }
 
@@ -144,7 +144,7 @@
 		}
 	}
 	if passed != 10 {
-		t.Errorf("%d passed at once, want a quarter of a second's worth", passed)
+		t.Errorf("%d passed at once, want 10: a quarter of a second's worth", passed)
 	}
 	l.Refund(start, "a")
 	if l.Take(start, "a", limit) != nil {
@@ -152,14 +152,14 @@
 	}
 	first, second := l.Take(start, "a", limit), l.Take(start, "a", limit)
 	if first == nil || second == nil || second.RetryAfter <= first.RetryAfter {
-		t.Errorf("come-back times %v, %v do not follow each other", first, second)
+		t.Errorf("retry times %v, %v do not follow each other", first, second)
 	}
 	one := Limit{Concurrency: 1}
 	if l.Take(start, "b", one) != nil || l.Take(start, "b", one) == nil {
-		t.Error("concurrency of one")
+		t.Error("a concurrency limit of 1 did not admit exactly one request")
 	}
 	l.Done("b")
 	if l.Take(start, "b", one) != nil {
-		t.Error("the slot was not given back")
+		t.Error("Done did not free the slot")
 	}
 }
