--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -8,32 +8,33 @@
 	"sort"
 )
 
-// headroom is how far above its reported demand an entry's share may go
-// before others that want more are served, so that a rising demand is seen.
-const headroom = 1.1
+// demandHeadroom is the factor on a reported demand up to which an entry's share
+// is filled before entries with a higher demand get more. The margin above the
+// demand lets a rising demand show in the reports.
+const demandHeadroom = 1.1
 
-// floorShare is the part of an equal share that an entry keeps without any
+// floorShare is the fraction of an equal share that an entry keeps without any
 // demand, so that its first requests are not refused.
 const floorShare = 0.02
 
-// Demand is what one entry asked for, in requests per second.
+// Demand is the reported demand of one entry, in requests per second.
 type Demand struct {
 	Entry string
 	Rate  float64
 }
 
-// WantsAll stands for a demand that is not known: its entry may want all.
+// WantsAll is the rate of an unknown demand, which may be as high as the limit.
 const WantsAll = math.MaxFloat64 / 4
 
-// Floor returns the share that an entry keeps while it hears from too few
-// others to know that they leave it more.
+// Floor returns the share that an entry may use while it receives reports of too
+// few other entries to compute a higher one.
 func Floor(limit float64, entries int) float64 {
 	return limit / float64(max(entries, 1)) * floorShare
 }
 
-// Shares divides limit by water-filling: no entry gets more than it wants
-// while another wants more, and what nobody wants is divided equally. The
-// shares never add up to more than limit.
+// Shares divides limit by max-min fairness (water-filling): no entry gets more
+// than its demand while the demand of another is unmet, and what exceeds all
+// demands is divided equally. The shares never add up to more than limit.
 func Shares(limit float64, demands []Demand) map[string]float64 {
 	out := make(map[string]float64, len(demands))
 	if len(demands) == 0 || limit <= 0 {
@@ -47,16 +48,16 @@
 		return sorted[i].Entry < sorted[j].Entry
 	})
 	floor := Floor(limit, len(sorted))
-	left := limit
+	remaining := limit
 	for i, d := range sorted {
-		fair := left / float64(len(sorted)-i)
-		share := min(max(d.Rate*headroom, floor), fair)
+		fair := remaining / float64(len(sorted)-i)
+		share := min(max(d.Rate*demandHeadroom, floor), fair)
 		out[d.Entry] = share
-		left -= share
+		remaining -= share
 	}
-	spread := left / float64(len(sorted))
+	surplus := remaining / float64(len(sorted))
 	for entry := range out {
-		out[entry] += spread
+		out[entry] += surplus
 	}
 	return out
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,48 +1,50 @@
-// Package retry keeps repeated sends of requests within a budget that holds
-// over all nodes, without asking them: each node uses its own part.
+// Package retry keeps repeated sends of requests within a budget that holds over
+// all nodes together. It needs no coordination: each node uses its own part.
 package retry
 
 import "time"
 
-// buckets is how many parts a window is counted in.
+// buckets is the number of time buckets into which a window is divided.
 const buckets = 100
 
-// rounding is what sums of small credits may be off.
-const rounding = 1e-9
+// roundingTolerance is the rounding error accepted in sums of small credits.
+const roundingTolerance = 1e-9
 
-// Limit is a budget over all nodes. In any span of a window's length the repeats stay within
-// Ratio x the requests of that span or of the one before it, whichever has more, and Extra.
+// Limit is the budget of repeats over all nodes. In any span of a window's length, the number of
+// repeats is at most Ratio times the requests of that span or of the one before it, whichever is
+// more, plus Extra.
 type Limit struct {
-	// Ratio is how many repeats each request allows.
+	// Ratio is the number of repeats that each request allows.
 	Ratio float64
-	// Extra is how many repeats a window allows beside that, over all nodes.
+	// Extra is the number of repeats that a window allows in addition, over all nodes.
 	Extra float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// spread is over how many windows each credit may count: it lives for one, and the repeats of a
-// window may draw on what was earned in it and in the one before.
-const spread = 2
+// windowsPerCredit is the number of windows whose repeats may use a credit. A credit is valid for
+// the length of one window, so repeats of a window may use credits earned in it and in the one before.
+const windowsPerCredit = 2
 
-// Budget is this node's part of the budget of one service, as credits: a request earns a part
-// of one, time earns the node's share of the fixed part, and a repeat costs a whole one. Credits
-// that are not used end with the window in which they were earned, and with the process.
+// Budget is this node's part of one service's budget, counted in credits. A request earns a fraction
+// of a credit, the passing of time earns the node's share of the fixed part, and a repeat costs one
+// credit. Unused credits expire one window after they were earned, and when the process exits.
 //
-// Invariant: the limit holds over any number of lives, since each request earns its credit
-// once, in the life that received it, and a new life begins with none. A count of the repeats
-// in one life's memory let the nodes make 702 repeats in 10 s, 566 allowed, when all of them
-// were killed while upstreams rejected most requests.
+// Invariant: the limit holds over any number of incarnations of a node, since each request earns
+// its credit once, in the incarnation that received it, and a new incarnation starts without
+// credits. Counting repeats in the memory of one incarnation is not enough: when all nodes were
+// killed while upstreams rejected most requests, they made 702 repeats in 10 s, where 566 were
+// allowed.
 //
 // It is not safe for concurrent use; its owner holds a lock.
 type Budget struct {
 	limit Limit
-	// earned holds what requests earned in each part of the window.
+	// earned holds the credits that requests earned in each bucket of the window.
 	earned [buckets]float64
-	// fixed is what time has earned, as of fixedAt.
+	// fixed is the credit of the fixed part, as of fixedAt.
 	fixed   float64
 	fixedAt time.Time
-	// current is the number of the newest part since the epoch of the owner.
+	// current is the number of the newest bucket, counted from epoch.
 	current int64
 	epoch   time.Time
 }
@@ -50,24 +52,25 @@
 // NewBudget returns a budget without credits.
 func NewBudget(l Limit, now time.Time) *Budget { return &Budget{limit: l, epoch: now, fixedAt: now} }
 
-// Request earns the credit of a caller's request.
+// Request adds the credit that a caller's request earns.
 func (b *Budget) Request(now time.Time) {
 	b.advance(now)
-	b.earned[b.current%buckets] += b.limit.Ratio / spread
+	b.earned[b.current%buckets] += b.limit.Ratio / windowsPerCredit
 }
 
-// Use is what one question was decided by.
+// Use is the decision on one repeat and the figures behind it.
 type Use struct {
-	// Allowed says whether the repeat may be made; its credit is then taken.
+	// Allowed reports whether the repeat may be made; its credit has then been taken.
 	Allowed bool
-	// Earned is the credit from requests and Fixed that from time, before the repeat.
+	// Earned is the credit earned by requests and Fixed that of the fixed part, both before
+	// the repeat.
 	Earned, Fixed float64
-	// Nodes is by how many nodes the fixed part is shared; 0 while that is not known.
+	// Nodes is the number of nodes that share the fixed part; 0 while it is unknown.
 	Nodes int
 }
 
-// Take takes the credit of a repeat if there is one. nodes is how many nodes may be
-// using the budget at once; while that is not known, 0, the fixed part earns nothing.
+// Take takes the credit for a repeat if there is one. nodes is the number of nodes that may use
+// the budget at once. While it is 0, which means unknown, the fixed part earns nothing.
 func (b *Budget) Take(now time.Time, nodes int) Use {
 	b.advance(now)
 	b.accrue(now, nodes)
@@ -75,7 +78,7 @@
 	for _, credit := range b.earned {
 		use.Earned += credit
 	}
-	if use.Earned+use.Fixed < 1-rounding {
+	if use.Earned+use.Fixed < 1-roundingTolerance {
 		return use
 	}
 	use.Allowed = true
@@ -83,7 +86,7 @@
 	return use
 }
 
-// spend takes one credit, those first that end first.
+// spend removes one credit, taking those first that expire first.
 func (b *Budget) spend() {
 	cost := 1.0
 	for i := int64(1); i <= buckets; i++ {
@@ -95,18 +98,18 @@
 	b.fixed = max(b.fixed-cost, 0)
 }
 
-// accrue adds what time has earned of this node's share of the fixed part.
+// accrue adds the credit that this node's share of the fixed part earned since the last call.
 func (b *Budget) accrue(now time.Time, nodes int) {
 	elapsed := now.Sub(b.fixedAt)
 	b.fixedAt = now
 	if nodes <= 0 || elapsed <= 0 {
 		return
 	}
-	share := b.limit.Extra / float64(spread*nodes)
+	share := b.limit.Extra / float64(windowsPerCredit*nodes)
 	b.fixed = min(b.fixed+share*elapsed.Seconds()/b.limit.Window.Seconds(), share)
 }
 
-// advance ends the credits of parts that are a window old.
+// advance moves to the current bucket and expires the credits of buckets that are a window old.
 func (b *Budget) advance(now time.Time) {
 	next := int64(now.Sub(b.epoch) / (b.limit.Window / buckets))
 	if next-b.current >= buckets {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestFixedPartComesWithTime: a life begins without credits and earns the fixed part over a
-// window, however long it is idle.
-func TestFixedPartComesWithTime(t *testing.T) {
+// TestFixedPartAccruesOverTime checks that a budget starts without credits and earns half of the
+// fixed part in a window, and no more while it is idle for longer.
+func TestFixedPartAccruesOverTime(t *testing.T) {
 	start := time.Unix(0, 0)
 	b := NewBudget(Limit{Ratio: 0, Extra: 4, Window: time.Second}, start)
 	taken := func(now time.Time, nodes int) int {
@@ -34,8 +34,9 @@
 	}
 }
 
-// TestCreditsEndWithTheirWindow: requests earn half of the ratio each, for one window.
-func TestCreditsEndWithTheirWindow(t *testing.T) {
+// TestCreditsExpireAfterOneWindow checks that each request earns half of the ratio, which can be
+// used for one window.
+func TestCreditsExpireAfterOneWindow(t *testing.T) {
 	start := time.Unix(0, 0)
 	b := NewBudget(Limit{Ratio: 0.2, Window: 10 * time.Second}, start)
 	for range 20 {
@@ -45,6 +46,6 @@
 		t.Error("no repeat within the window of its credit")
 	}
 	if b.Take(start.Add(10*time.Second), 1).Allowed {
-		t.Error("a repeat on a credit of the window before")
+		t.Error("a repeat on a credit that is a window old")
 	}
 }
--- a/internal/retry/lives_test.go
+++ b/internal/retry/lives_test.go
@@ -9,38 +9,32 @@
 	_ "github.com/marbleroad/marbleroad/test/seed"
 )
 
-// TestRepeatsOfManyLives: each node used its own part of the budget, and forgot with its
-// process what it had used. When all nodes were killed while upstreams rejected most of what they
-// were sent, the new lives began with a full part and the requests that now came: in ten
-// seconds 702 repeats were made for 2,151 requests, where 566 are allowed. The
-// fixed part alone was halved for a second life; the part for requests was not, and a third life
-// was not thought of.
+// TestLimitHoldsAcrossRestarts guards against repeats beyond the limit when nodes restart. A node
+// that counts its repeats in memory loses the count with its process: when all nodes were killed
+// while upstreams rejected most requests, each restarted with its full part of the budget, and they
+// made 702 repeats for 2,151 requests in ten seconds, where 566 are allowed. Halving the fixed part
+// for the second incarnation is not enough: the part earned by requests and further restarts count too.
 //
-//	16.35  5011 budget={requests:209 repeats:49 most:49.4 nodes:9}
-//	17.04  1001 daemon started
-//	17.45  5007 budget={requests:19 repeats:11 most:11.4 nodes:9}
-//	22.48  5007 budget={requests:148 repeats:37 most:37.2 nodes:9}
-//
-// The limit is over all nodes and lives, for the requests of any window, of the one before it or
-// of the one half a window before, whichever had most.
-func TestRepeatsOfManyLives(t *testing.T) {
+// The limit is checked over all nodes and incarnations, for the requests of any window, of the one
+// before it or of the one half a window before, whichever has the most.
+func TestLimitHoldsAcrossRestarts(t *testing.T) {
 	limit := Limit{Ratio: 0.2, Extra: 12, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 3).Draw(t, "nodes")
 		now := time.Unix(0, 0)
-		lives := make([]*Budget, nodes)
-		for i := range lives {
-			lives[i] = NewBudget(limit, now)
+		budgets := make([]*Budget, nodes)
+		for i := range budgets {
+			budgets[i] = NewBudget(limit, now)
 		}
 		var requests, repeats []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			if rapid.IntRange(0, 40).Draw(t, "killed") == 0 {
-				for i := range lives {
-					lives[i] = NewBudget(limit, now)
+				for i := range budgets {
+					budgets[i] = NewBudget(limit, now)
 				}
 			}
-			node := lives[rapid.IntRange(0, nodes-1).Draw(t, "node")]
+			node := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			for range rapid.IntRange(0, 12).Draw(t, "requests") {
 				node.Request(now)
 				requests = append(requests, now)
@@ -60,8 +54,8 @@
 	})
 }
 
-// TestSavedCreditsKeepToTheLimit: credits that a whole quiet window has saved are used at its end,
-// and those of the next window as they come.
+// TestSavedCreditsKeepToTheLimit checks the limit when the credits saved over a window without
+// repeats are all used at its end, and those of the next window as they are earned.
 func TestSavedCreditsKeepToTheLimit(t *testing.T) {
 	limit := Limit{Ratio: 0.2, Extra: 0, Window: 10 * time.Second}
 	start := time.Unix(0, 0)
@@ -86,16 +80,17 @@
 	}
 }
 
-// allowed is what the limit allows in the window that ends then.
+// allowed returns the number of repeats that the limit allows in the window that ends at end.
 func (l Limit) allowed(requests []time.Time, end time.Time) float64 {
-	most := 0
+	maxRequests := 0
 	for _, back := range []time.Duration{0, l.Window / 2, l.Window} {
 		to := end.Add(-back)
-		most = max(most, within(requests, to.Add(-l.Window), to))
+		maxRequests = max(maxRequests, within(requests, to.Add(-l.Window), to))
 	}
-	return l.Ratio*float64(most) + l.Extra
+	return l.Ratio*float64(maxRequests) + l.Extra
 }
 
+// within returns the number of times after from and until to.
 func within(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict says, for every failed or finished request, whether an
-// upstream may have run it. Callers decide by it whether a retry is safe.
+// Package verdict defines whether an upstream may have run a failed or finished
+// request. Callers use the verdict to decide whether a retry is safe.
 package verdict
 
 import (
@@ -8,19 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict tells whether a request may have run at an upstream.
+// Verdict states whether a request may have run at an upstream.
 type Verdict uint8
 
 const (
 	// NotRun means that no upstream ran any part of the request.
 	NotRun Verdict = iota + 1
-	// MayHaveRun means that an upstream may have run the request in part or whole.
+	// MayHaveRun means that an upstream may have run all or part of the request.
 	MayHaveRun
-	// Ran means that an upstream ran the request and its answer is known.
+	// Ran means that an upstream ran the request and its response is known.
 	Ran
 )
 
-// Header carries the verdict to callers and between entries.
+// Header is the HTTP header that carries the verdict to callers and between entries.
 const Header = "Marbleroad-Verdict"
 
 // String returns the wire form: not-run, may-have-run or ran.
@@ -36,7 +36,8 @@
 	return "unknown"
 }
 
-// Parse reads the wire form. Anything unknown is MayHaveRun, the safe reading.
+// Parse returns the verdict of a wire form. An unknown form counts as MayHaveRun, the
+// safe assumption.
 func Parse(s string) Verdict {
 	switch s {
 	case "not-run":
@@ -47,23 +48,23 @@
 	return MayHaveRun
 }
 
-// Error is a request's final failure, with what a caller needs to go on.
+// Error is the final failure of a request, with what its caller needs to handle it.
 type Error struct {
-	// Verdict says whether the request may have run.
+	// Verdict states whether the request may have run.
 	Verdict Verdict
 	// Status is the HTTP status for the caller.
 	Status int
 	// Code is a stable machine-readable reason such as "over-limit".
 	Code string
-	// Detail is one sentence for a person.
+	// Detail is one human-readable sentence.
 	Detail string
-	// RetryAfter is when to come back; zero when a retry does not help.
+	// RetryAfter is the time to wait before a retry; zero when a retry does not help.
 	RetryAfter time.Duration
 	// Cause is the underlying error, for logs only.
 	Cause error
 }
 
-// Error implements error.
+// Error implements error. It includes the cause, so its text is for logs only.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return e.Code + ": " + e.Detail
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -136,7 +136,7 @@
 mutant "a head is opened though a member has left" internal/director/groups.go \
   's/case !w\.shortAt\.IsZero\(\):\n\t\ts\.takeApart.*?\n//' ./internal/director TestHeadOpenedAfterAMemberLeft
 mutant "a share rises at once" internal/quota/damper.go \
-  's/least = min\(least, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
+  's/minShare = min\(minShare, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
 mutant "the urgent wait behind the rest" internal/admission/queue.go \
   's/for p := priorities - 1; p >= 0; p--/for p := 0; p < priorities; p++/' ./test/policy/bench TestFlood
 mutant "operators need no token" internal/control/operator.go \
@@ -226,11 +226,11 @@
 mutant "a leave does not count as accepted" internal/director/answers.go \
   's/m\.begun \|\| m\.order\.Operation == engine\.Leave/m.begun/' ./internal/director TestLeaveCounts
 mutant "credits for repeats don't end" internal/retry/budget.go \
-  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsEndWithTheirWindow
+  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsExpireAfterOneWindow
 mutant "a request earns its whole ratio at once" internal/retry/budget.go \
-  's/b\.limit\.Ratio \/ spread/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
+  's/b\.limit\.Ratio \/ windowsPerCredit/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
 mutant "a new life has its fixed part at once" internal/retry/budget.go \
-  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestRepeatsOfManyLives
+  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestLimitHoldsAcrossRestarts
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
   's/if !c\.recordsRead\.Load\(\)/if false/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
