--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -4,17 +4,17 @@
 
 // Request holds the properties of a request that decide whether an engine admits it.
 type Request struct {
-	// Prompt is the number of tokens in the request's prompt.
-	Prompt float64
+	// PromptTokens is the number of tokens in the request's prompt.
+	PromptTokens float64
 	// Objective is the target for the time from the caller's first attempt to the first
 	// event of the response; zero means that there is no target.
 	Objective time.Duration
-	// Spent is the part of Objective that has elapsed since the caller's first attempt.
-	Spent time.Duration
-	// Kept is the fraction, 0 to 1, of the slack that is reserved for more urgent requests.
+	// Elapsed is the part of Objective that has elapsed since the caller's first attempt.
+	Elapsed time.Duration
+	// Reserved is the fraction, 0 to 1, of the slack that is reserved for more urgent requests.
 	// The slack is the objective less the time to the first event on an idle engine. A less
 	// urgent request may use less of it for waiting, and so is rejected first.
-	Kept float64
+	Reserved float64
 }
 
 const (
@@ -33,25 +33,25 @@
 // that it will. A request that is late on any engine is admitted only if it makes no
 // other request late. Prompt tokens above the mean prompt length do not count against
 // their own request, so that long prompts are not served less often than short ones.
-func (e Engine) Admit(w Work, r Request, offset time.Duration) bool {
-	if !e.Known() || r.Objective <= 0 {
+func (e Engine) Admit(load Load, r Request, offset time.Duration) bool {
+	if !e.CanPredict() || r.Objective <= 0 {
 		return true
 	}
-	if w.Unread == 0 && float64(w.InFlight) < idleShare*float64(e.Slots) {
+	if load.UnreadTokens == 0 && float64(load.InFlight) < idleShare*float64(e.Slots) {
 		return true
 	}
-	if e.First(Work{}, e.UsualPrompt)+offset > r.Objective {
+	if e.TimeToFirstEvent(Load{}, e.MeanPrompt)+offset > r.Objective {
 		// No request can meet the objective here; late responses are better than none.
-		return w.InFlight < e.Slots
+		return load.InFlight < e.Slots
 	}
-	prompt := min(r.Prompt, e.UsualPrompt)
-	minFirst := e.First(Work{}, prompt) + offset
-	reserved := time.Duration(r.Kept * float64(max(r.Objective-minFirst, 0)))
-	left := r.Objective - reserved - r.Spent
+	prompt := min(r.PromptTokens, e.MeanPrompt)
+	minFirst := e.TimeToFirstEvent(Load{}, prompt) + offset
+	reserved := time.Duration(r.Reserved * float64(max(r.Objective-minFirst, 0)))
+	left := r.Objective - reserved - r.Elapsed
 	if minFirst <= left {
-		return e.First(w, prompt)+offset <= left
+		return e.TimeToFirstEvent(load, prompt)+offset <= left
 	}
-	after := Work{InFlight: w.InFlight + 1, Unread: w.Unread + r.Prompt, Pass: w.Pass}
+	after := Load{InFlight: load.InFlight + 1, UnreadTokens: load.UnreadTokens + r.PromptTokens, PassTime: load.PassTime}
 	spare := time.Duration(lateAdmissionShare * float64(r.Objective))
-	return w.InFlight < e.Slots && e.First(after, e.UsualPrompt)+offset <= spare
+	return load.InFlight < e.Slots && e.TimeToFirstEvent(after, e.MeanPrompt)+offset <= spare
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -16,77 +16,77 @@
 type Engine struct {
 	// Slots is the number of requests that run at once.
 	Slots int
-	// Stride is the number of token steps in one pass.
-	Stride int
+	// StepsPerPass is the number of token steps in one pass.
+	StepsPerPass int
 	// StepTime is the duration of one token step; PerSequence is what each running
 	// request adds to it.
 	StepTime    time.Duration
 	PerSequence time.Duration
 	// ReadPerSecond is the number of prompt tokens read per second.
 	ReadPerSecond float64
-	// Chunk is the maximum number of prompt tokens read in one step; 0 while unknown.
-	Chunk int
-	// UsualPrompt and UsualAnswer are the mean token counts of prompts and answers.
-	UsualPrompt float64
-	UsualAnswer float64
+	// MaxReadPerStep is the maximum number of prompt tokens read in one step; 0 while unknown.
+	MaxReadPerStep int
+	// MeanPrompt and MeanAnswer are the mean token counts of prompts and answers.
+	MeanPrompt float64
+	MeanAnswer float64
 	// Pace is a factor applied to all durations: below 1 is faster. Zero means 1.
 	Pace float64
 }
 
-// Known reports whether the figures suffice for a prediction.
-func (e Engine) Known() bool { return e.Slots > 0 && e.StepTime > 0 && e.ReadPerSecond > 0 }
+// CanPredict reports whether the figures suffice for a prediction.
+func (e Engine) CanPredict() bool { return e.Slots > 0 && e.StepTime > 0 && e.ReadPerSecond > 0 }
 
-// Work describes an engine's current load, as far as it is known.
-type Work struct {
+// Load describes an engine's current load, as far as it is known.
+type Load struct {
 	// InFlight is the number of requests at the engine, running or waiting.
 	InFlight int
-	// Unread is the number of prompt tokens of those that have had no event yet.
-	Unread float64
-	// Pass is the duration of recently observed passes; zero if none was observed.
-	Pass time.Duration
+	// UnreadTokens is the number of prompt tokens of those that have had no event yet.
+	UnreadTokens float64
+	// PassTime is the duration of recently observed passes; zero if none was observed.
+	PassTime time.Duration
 }
 
-// Decode returns the time that one pass decodes for a number of running requests.
-func (e Engine) Decode(running int) time.Duration {
+// DecodeTime returns the time that one pass decodes for a number of running requests.
+func (e Engine) DecodeTime(running int) time.Duration {
 	step := e.StepTime + time.Duration(min(running, e.Slots))*e.PerSequence
-	return e.scale(float64(max(e.Stride, 1)) * float64(step))
+	return e.scale(float64(max(e.StepsPerPass, 1)) * float64(step))
 }
 
-// LongestPass returns the duration of a pass that decodes for a full batch and reads as
+// MaxPassTime returns the duration of a pass that decodes for a full batch and reads as
 // many prompt tokens as it can; zero while the figures are unknown.
-func (e Engine) LongestPass() time.Duration {
-	if !e.Known() || e.Chunk <= 0 {
+func (e Engine) MaxPassTime() time.Duration {
+	if !e.CanPredict() || e.MaxReadPerStep <= 0 {
 		return 0
 	}
-	return e.Decode(e.Slots) + e.Read(float64(max(e.Stride, 1)*e.Chunk))
+	return e.DecodeTime(e.Slots) + e.ReadTime(float64(max(e.StepsPerPass, 1)*e.MaxReadPerStep))
 }
 
-// Read returns the time that an engine needs to read so many prompt tokens.
-func (e Engine) Read(tokens float64) time.Duration {
+// ReadTime returns the time that an engine needs to read so many prompt tokens.
+func (e Engine) ReadTime(tokens float64) time.Duration {
 	return e.scale(tokens / e.ReadPerSecond * float64(time.Second))
 }
 
-// First predicts the time until the first event of a request with so many prompt tokens.
-// It is the sum of the rest of the current pass (half a pass on average), the wait for a
-// slot, the reading of the prompts ahead and of the request's own, and the pass that
-// decodes its first tokens. The constant overhead of the network and the engine is not
-// included; see Offset.
-func (e Engine) First(w Work, prompt float64) time.Duration {
-	decode := e.Decode(w.InFlight + 1)
-	pass := max(decode, w.Pass)
-	return pass/2 + e.slotWait(w.InFlight, pass) + e.Read(w.Unread+prompt) + decode
+// TimeToFirstEvent predicts the time until the first event of a request with so many
+// prompt tokens. It is the sum of the rest of the current pass (half a pass on average),
+// the wait for a slot, the reading of the prompts ahead and of the request's own, and the
+// pass that decodes its first tokens. The constant overhead of the network and the engine
+// is not included; see Offset.
+func (e Engine) TimeToFirstEvent(load Load, prompt float64) time.Duration {
+	decode := e.DecodeTime(load.InFlight + 1)
+	pass := max(decode, load.PassTime)
+	return pass/2 + e.slotWait(load.InFlight, pass) + e.ReadTime(load.UnreadTokens+prompt) + decode
 }
 
-// Ended predicts how many of the inFlight requests, of typical lengths, finish within a
-// time. The engine decodes for those that run, and reads the prompt of another one for each
-// that finishes.
-func (e Engine) Ended(inFlight int, within time.Duration) float64 {
+// ExpectedCompletions predicts how many of the inFlight requests, of typical lengths,
+// finish within a time. The engine decodes for those that run, and reads the prompt of
+// another one for each that finishes.
+func (e Engine) ExpectedCompletions(inFlight int, within time.Duration) float64 {
 	running := min(inFlight, e.Slots)
 	if running <= 0 {
 		return 0
 	}
-	passes := e.UsualAnswer / float64(max(e.Stride, 1))
-	serviceTime := passes*e.Decode(running).Seconds() + float64(running)*e.Read(e.UsualPrompt).Seconds()
+	passes := e.MeanAnswer / float64(max(e.StepsPerPass, 1))
+	serviceTime := passes*e.DecodeTime(running).Seconds() + float64(running)*e.ReadTime(e.MeanPrompt).Seconds()
 	return float64(running) * min(within.Seconds()/serviceTime, 1)
 }
 
@@ -97,7 +97,7 @@
 	if ahead <= 0 {
 		return 0
 	}
-	passes := e.UsualAnswer / float64(max(e.Stride, 1))
+	passes := e.MeanAnswer / float64(max(e.StepsPerPass, 1))
 	return time.Duration(float64(ahead) * passes * float64(pass) / float64(e.Slots))
 }
 
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -10,27 +10,27 @@
 )
 
 func engine() Engine {
-	return Engine{Slots: 20, Stride: 5, StepTime: 6 * time.Millisecond, PerSequence: 200 * time.Microsecond,
-		ReadPerSecond: 40000, UsualPrompt: 1000, UsualAnswer: 100, Pace: 1}
+	return Engine{Slots: 20, StepsPerPass: 5, StepTime: 6 * time.Millisecond, PerSequence: 200 * time.Microsecond,
+		ReadPerSecond: 40000, MeanPrompt: 1000, MeanAnswer: 100, Pace: 1}
 }
 
 // TestFirstEventAddsUp compares predictions with sums computed by hand: half a pass, the
 // reading of all prompts, and a pass.
 func TestFirstEventAddsUp(t *testing.T) {
 	e := engine()
-	w := Work{InFlight: 9, Unread: 2000}
+	load := Load{InFlight: 9, UnreadTokens: 2000}
 	pass := 5 * (6*time.Millisecond + 10*200*time.Microsecond)
 	want := pass/2 + 75*time.Millisecond + pass
-	if got := e.First(w, 1000); got != want {
+	if got := e.TimeToFirstEvent(load, 1000); got != want {
 		t.Errorf("first event after %v, expected %v", got, want)
 	}
-	w.Pass = 2 * pass
-	if got := e.First(w, 1000); got != want+pass/2 {
+	load.PassTime = 2 * pass
+	if got := e.TimeToFirstEvent(load, 1000); got != want+pass/2 {
 		t.Errorf("with longer observed passes: %v, expected %v", got, want+pass/2)
 	}
-	w = Work{InFlight: 20}
-	full := e.Decode(20)
-	if got := e.First(w, 0); got != full/2+full+full {
+	load = Load{InFlight: 20}
+	full := e.DecodeTime(20)
+	if got := e.TimeToFirstEvent(load, 0); got != full/2+full+full {
 		t.Errorf("while all slots are in use: %v, expected %v", got, full/2+full+full)
 	}
 }
@@ -40,13 +40,13 @@
 func TestMoreLoadIsNeverSooner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := engine()
-		w := Work{InFlight: rapid.IntRange(0, 60).Draw(t, "in flight"), Unread: rapid.Float64Range(0, 1e5).Draw(t, "unread")}
+		load := Load{InFlight: rapid.IntRange(0, 60).Draw(t, "in flight"), UnreadTokens: rapid.Float64Range(0, 1e5).Draw(t, "unread")}
 		prompt := rapid.Float64Range(0, 1e4).Draw(t, "prompt")
-		base := e.First(w, prompt)
+		base := e.TimeToFirstEvent(load, prompt)
 		for name, later := range map[string]time.Duration{
-			"one more request": e.First(Work{InFlight: w.InFlight + 1, Unread: w.Unread}, prompt),
-			"one more prompt":  e.First(Work{InFlight: w.InFlight, Unread: w.Unread + 500}, prompt),
-			"a longer prompt":  e.First(w, prompt+500),
+			"one more request": e.TimeToFirstEvent(Load{InFlight: load.InFlight + 1, UnreadTokens: load.UnreadTokens}, prompt),
+			"one more prompt":  e.TimeToFirstEvent(Load{InFlight: load.InFlight, UnreadTokens: load.UnreadTokens + 500}, prompt),
+			"a longer prompt":  e.TimeToFirstEvent(load, prompt+500),
 		} {
 			if later < base {
 				t.Fatalf("%s: first event after %v, earlier than %v", name, later, base)
@@ -60,30 +60,30 @@
 	const offset = 150 * time.Millisecond
 	cases := []struct {
 		name string
-		w    Work
+		load Load
 		r    Request
 		off  time.Duration
 		want bool
 	}{
-		{"in time", Work{InFlight: 15, Unread: 1000}, Request{Prompt: 1000, Objective: objective}, offset, true},
-		{"behind many unread prompts", Work{InFlight: 15, Unread: 8000}, Request{Prompt: 1000, Objective: objective}, offset, false},
-		{"a long prompt is not rejected for its own length", Work{InFlight: 15, Unread: 1000}, Request{Prompt: 9000, Objective: objective}, offset, true},
-		{"a less urgent request is rejected first", Work{InFlight: 15, Unread: 4500}, Request{Prompt: 1000, Objective: objective, Kept: 0.3}, offset, false},
-		{"a less urgent request at an engine with headroom", Work{InFlight: 10, Unread: 500}, Request{Prompt: 1000, Objective: objective, Kept: 0.3}, 200 * time.Millisecond, true},
-		{"an urgent request under the same load", Work{InFlight: 15, Unread: 4500}, Request{Prompt: 1000, Objective: objective}, offset, true},
-		{"late in any case, delays no other request", Work{InFlight: 12}, Request{Prompt: 1000, Objective: objective, Spent: objective}, offset, true},
-		{"late in any case, delays other requests", Work{InFlight: 18, Unread: 3000}, Request{Prompt: 1000, Objective: objective, Spent: objective}, offset, false},
-		{"an idle engine admits every request", Work{InFlight: 5}, Request{Prompt: 1000, Objective: objective, Spent: objective}, time.Second, true},
-		{"an engine too slow for the objective serves late", Work{InFlight: 15, Unread: 2000}, Request{Prompt: 1000, Objective: objective}, time.Second, true},
-		{"an engine too slow for the objective, all slots in use", Work{InFlight: 20, Unread: 2000}, Request{Prompt: 1000, Objective: objective}, time.Second, false},
-		{"no objective, no limit", Work{InFlight: 90, Unread: 1e6}, Request{Prompt: 1000}, offset, true},
+		{"in time", Load{InFlight: 15, UnreadTokens: 1000}, Request{PromptTokens: 1000, Objective: objective}, offset, true},
+		{"behind many unread prompts", Load{InFlight: 15, UnreadTokens: 8000}, Request{PromptTokens: 1000, Objective: objective}, offset, false},
+		{"a long prompt is not rejected for its own length", Load{InFlight: 15, UnreadTokens: 1000}, Request{PromptTokens: 9000, Objective: objective}, offset, true},
+		{"a less urgent request is rejected first", Load{InFlight: 15, UnreadTokens: 4500}, Request{PromptTokens: 1000, Objective: objective, Reserved: 0.3}, offset, false},
+		{"a less urgent request at an engine with headroom", Load{InFlight: 10, UnreadTokens: 500}, Request{PromptTokens: 1000, Objective: objective, Reserved: 0.3}, 200 * time.Millisecond, true},
+		{"an urgent request under the same load", Load{InFlight: 15, UnreadTokens: 4500}, Request{PromptTokens: 1000, Objective: objective}, offset, true},
+		{"late in any case, delays no other request", Load{InFlight: 12}, Request{PromptTokens: 1000, Objective: objective, Elapsed: objective}, offset, true},
+		{"late in any case, delays other requests", Load{InFlight: 18, UnreadTokens: 3000}, Request{PromptTokens: 1000, Objective: objective, Elapsed: objective}, offset, false},
+		{"an idle engine admits every request", Load{InFlight: 5}, Request{PromptTokens: 1000, Objective: objective, Elapsed: objective}, time.Second, true},
+		{"an engine too slow for the objective serves late", Load{InFlight: 15, UnreadTokens: 2000}, Request{PromptTokens: 1000, Objective: objective}, time.Second, true},
+		{"an engine too slow for the objective, all slots in use", Load{InFlight: 20, UnreadTokens: 2000}, Request{PromptTokens: 1000, Objective: objective}, time.Second, false},
+		{"no objective, no limit", Load{InFlight: 90, UnreadTokens: 1e6}, Request{PromptTokens: 1000}, offset, true},
 	}
 	for _, c := range cases {
-		if got := engine().Admit(c.w, c.r, c.off); got != c.want {
+		if got := engine().Admit(c.load, c.r, c.off); got != c.want {
 			t.Errorf("%s: admitted %v", c.name, got)
 		}
 	}
-	if !(Engine{Slots: 1}).Admit(Work{InFlight: 9}, Request{Objective: objective}, 0) {
+	if !(Engine{Slots: 1}).Admit(Load{InFlight: 9}, Request{Objective: objective}, 0) {
 		t.Error("an engine without figures rejected a request")
 	}
 }
@@ -117,7 +117,7 @@
 func TestOffsetDecaysWithoutFirstEvents(t *testing.T) {
 	o := Offset{value: maxOffset}
 	for range 10_000 {
-		o.Ease()
+		o.Decay()
 	}
 	if o.Value() != 0 {
 		t.Errorf("offset %v", o.Value())
--- a/internal/batch/offset.go
+++ b/internal/batch/offset.go
@@ -36,10 +36,10 @@
 	o.value = min(max(o.value, 0), maxOffset)
 }
 
-// Ease lowers the offset slightly. It is called for each request that was rejected
+// Decay lowers the offset slightly. It is called for each request that was rejected
 // because of the offset: an offset that rejects all requests gets no first events to learn
 // from, and would otherwise stay.
-func (o *Offset) Ease() {
+func (o *Offset) Decay() {
 	o.value -= offsetStep / 20
 	o.value = max(o.value, 0)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -78,7 +78,7 @@
 	// kept is the place where the call goes on, if one was kept when its last send was ended.
 	kept *move
 	// use is what the newest repeat was allowed by.
-	use retry.Use
+	use retry.Decision
 	// firstByte is how long the first event or the answer took.
 	firstByte time.Duration
 	// lastEvent is when the newest event came, pause the longest time between two.
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -61,7 +61,7 @@
 }
 
 // budgetFields are what a repeat was decided by.
-func budgetFields(u retry.Use) *zerolog.Event {
+func budgetFields(u retry.Decision) *zerolog.Event {
 	return zerolog.Dict().Float64("earned", u.Earned).Float64("fixed", u.Fixed).Int("nodes", u.Nodes)
 }
 
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -281,15 +281,15 @@
 // engineOf is what is published of one model's engine.
 func engineOf(e *catalog.Engine, m catalog.Model) batch.Engine {
 	return batch.Engine{
-		Slots:         e.Slots,
-		Stride:        e.Stride,
-		StepTime:      e.StepTime,
-		PerSequence:   e.PerSequence,
-		ReadPerSecond: e.ReadPerSecond,
-		Chunk:         e.Chunk,
-		UsualPrompt:   e.UsualPrompt,
-		UsualAnswer:   e.UsualAnswer,
-		Pace:          m.Pace,
+		Slots:          e.Slots,
+		StepsPerPass:   e.Stride,
+		StepTime:       e.StepTime,
+		PerSequence:    e.PerSequence,
+		ReadPerSecond:  e.ReadPerSecond,
+		MaxReadPerStep: e.Chunk,
+		MeanPrompt:     e.UsualPrompt,
+		MeanAnswer:     e.UsualAnswer,
+		Pace:           m.Pace,
 	}
 }
 
@@ -336,7 +336,7 @@
 	}
 	t.took += time.Duration(timeSmoothing * float64(took-t.took))
 	if m := b.demand[s.model]; m != nil && s.call.LastEvent == "" {
-		m.life.Ended(took)
+		m.life.Record(took)
 	}
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -52,7 +52,7 @@
 	}
 	key := demandKey{c.Service, c.Model}
 	asked := b.request(now, c, len(tried) > 0)
-	candidates, held := b.candidates(now, p.of(c.Model), tried, asked.Kept)
+	candidates, held := b.candidates(now, p.of(c.Model), tried, asked.Reserved)
 	if len(candidates) == 0 && held.count > 0 {
 		b.refusedAt = now
 		return nil, alternatives{held: held}, heldBack
@@ -66,7 +66,7 @@
 	found.held = held
 	why := found.refusal(p.service.Engine != nil)
 	if found.predictedLate && why == allFull {
-		b.offset(key).Ease()
+		b.offset(key).Decay()
 	}
 	if why != admitted {
 		b.refusedAt = now
@@ -76,8 +76,8 @@
 	s := &send{t: r.t, vm: r.t.vm, cancel: cancel, sentAt: now, lastByte: now, last: last, print: c.fingerprint(), judged: c.judged,
 		call: c, tried: tried, room: room}
 	s.objective, s.pauseObjective = objectives(c)
-	if r.t.engine.Known() {
-		s.prompt, s.model = asked.Prompt, key
+	if r.t.engine.CanPredict() {
+		s.prompt, s.model = asked.PromptTokens, key
 		s.predicted = r.first - b.offset(key).Value()
 	}
 	b.begin(now, s)
@@ -122,7 +122,7 @@
 // pick divides requests among heads that say how fast they are, and finds the candidate with the
 // lowest score among all others that take the request, of which with many nodes a few are enough.
 func (b *board) pick(now time.Time, candidates []*target, q question, room float64) picked {
-	if candidates[0].engine.Known() && (q.again || q.asked.Objective > 0) && !b.fresh(now, q.key, len(candidates)) {
+	if candidates[0].engine.CanPredict() && (q.again || q.asked.Objective > 0) && !b.fresh(now, q.key, len(candidates)) {
 		if out, ok := b.divide(now, candidates, q); ok {
 			return out
 		}
@@ -131,7 +131,7 @@
 	out := picked{best: -1}
 	seen := 0
 	for _, i := range b.order(candidates) {
-		r := b.rate(now, candidates[i], q.asked.Prompt, q.offset)
+		r := b.rate(now, candidates[i], q.asked.PromptTokens, q.offset)
 		r.score += b.apart(r.t, q.judged)
 		out.rivals = append(out.rivals, r)
 		if !b.takes(now, r, q.asked, room, q.offset, &out) {
@@ -203,10 +203,10 @@
 // predicted first event in passes of a full batch; and by what speaks against it.
 func (b *board) rate(now time.Time, t *target, prompt float64, offset time.Duration) rival {
 	r := rival{t: t, name: t.name(), score: float64(b.load(t)+1) / float64(t.slots)}
-	if t.engine.Known() {
-		first := t.engine.First(b.work(now, t), prompt)
+	if t.engine.CanPredict() {
+		first := t.engine.TimeToFirstEvent(b.work(now, t), prompt)
 		r.first = first + offset
-		r.score = float64(first) / float64(t.engine.Decode(t.slots))
+		r.score = float64(first) / float64(t.engine.DecodeTime(t.slots))
 	}
 	r.score = b.adjust(now, t, r.score)
 	return r
@@ -219,7 +219,7 @@
 	}
 	switch {
 	case t.vm.FailureDomain == b.domain:
-	case t.engine.Known():
+	case t.engine.CanPredict():
 		score += foreignPasses
 	default:
 		score += foreignPenalty
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -24,7 +24,7 @@
 	// arrivals are the requests a second that come here.
 	arrivals spread.Rate
 	// life is how long requests are at a head.
-	life spread.Life
+	life spread.ServiceTime
 	// away is the part of the requests that is turned away, by the newest decision.
 	away float64
 }
@@ -33,7 +33,7 @@
 func (b *board) count(now time.Time, c *Call) (first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget(c.Service).Request(now)
+	b.budget(c.Service).RecordRequest(now)
 	if !b.serves(c) {
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // takeRepeat counts one more send of a request, if the budget allows it.
-func (b *board) takeRepeat(now time.Time, service string, nodes int) retry.Use {
+func (b *board) takeRepeat(now time.Time, service string, nodes int) retry.Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(service).Take(now, nodes)
--- a/internal/gateway/divide.go
+++ b/internal/gateway/divide.go
@@ -82,7 +82,7 @@
 	var heads []spread.Head
 	var shares []share
 	for _, t := range candidates {
-		r := b.rate(now, t, q.asked.Prompt, q.offset)
+		r := b.rate(now, t, q.asked.PromptTokens, q.offset)
 		apart := b.apart(t, q.judged)
 		r.score += apart
 		out.rivals = append(out.rivals, r)
@@ -97,7 +97,7 @@
 		heads = append(heads, b.head(now, t, q, out.outlook.horizon, apart))
 		shares = append(shares, share{rival: len(out.rivals) - 1})
 	}
-	out.outlook.room = spread.Room(heads)
+	out.outlook.room = spread.Headroom(heads)
 	for i, part := range spread.Shares(heads, out.outlook.expected) {
 		shares[i].part = part
 	}
@@ -127,15 +127,15 @@
 }
 
 // cameBack reports whether the request's caller has probably come before and been turned away.
-func (q question) cameBack() bool { return !q.again && q.asked.Spent > comeBackSpent }
+func (q question) cameBack() bool { return !q.again && q.asked.Elapsed > comeBackSpent }
 
 // head is what is known of a target's load, with what speaks against it in its place.
 func (b *board) head(now time.Time, t *target, q question, horizon time.Duration, apart float64) spread.Head {
 	slots := float64(t.slots)
 	load := float64(b.load(t))
-	h := spread.Head{Load: load + apart*slots, Most: (1 - q.asked.Kept) * slots, Ends: b.ends(now, t, q.key, horizon)}
+	h := spread.Head{Load: load + apart*slots, MaxLoad: (1 - q.asked.Reserved) * slots, Completions: b.ends(now, t, q.key, horizon)}
 	if q.again {
-		h.Most = boundlessLoad
+		h.MaxLoad = boundlessLoad
 	}
 	if t.vm.FailureDomain != b.domain {
 		h.Load += foreignShare * slots
@@ -144,7 +144,7 @@
 		h.Load += cutShare * slots
 	}
 	if room, limited := b.limitedRoom(t, horizon); limited {
-		h.Most = min(h.Most, h.Load-h.Ends+room)
+		h.MaxLoad = min(h.MaxLoad, h.Load-h.Completions+room)
 	}
 	return h
 }
@@ -153,14 +153,14 @@
 // while that is not known, by the engine's figures; fewer where passes take longer than they should.
 func (b *board) ends(now time.Time, t *target, key demandKey, within time.Duration) float64 {
 	load := b.load(t)
-	out := t.engine.Ended(load, within)
+	out := t.engine.ExpectedCompletions(load, within)
 	if m := b.demand[key]; m != nil {
-		if learned, known := m.life.Ends(float64(load), within); known {
+		if learned, known := m.life.PredictCompletions(float64(load), within); known {
 			out = learned
 		}
 	}
-	if pass := b.work(now, t).Pass; pass > 0 {
-		out *= min(float64(t.engine.Decode(load))/float64(pass), 1)
+	if pass := b.work(now, t).PassTime; pass > 0 {
+		out *= min(float64(t.engine.DecodeTime(load))/float64(pass), 1)
 	}
 	return out
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -16,7 +16,7 @@
 type move struct {
 	to     *send
 	rivals alternatives
-	use    retry.Use
+	use    retry.Decision
 }
 
 // keepPlace keeps a place for the send's call elsewhere; false when there is none, or no repeat is
--- a/internal/gateway/predict.go
+++ b/internal/gateway/predict.go
@@ -13,10 +13,10 @@
 
 // work is what this node knows of a head's load: the requests of all nodes, the
 // prompts of its own, and the passes that it saw, in which other nodes' prompts show.
-func (b *board) work(now time.Time, t *target) batch.Work {
-	w := batch.Work{InFlight: b.load(t), Unread: t.unread}
+func (b *board) work(now time.Time, t *target) batch.Load {
+	w := batch.Load{InFlight: b.load(t), UnreadTokens: t.unread}
 	if t.passSeen(now) {
-		w.Pass = t.gap
+		w.PassTime = t.gap
 	}
 	return w
 }
@@ -29,13 +29,13 @@
 // request is what is known of a call when it is placed. A call that was sent before
 // has no objective any more: it is not given up for lack of room.
 func (b *board) request(now time.Time, c *Call, again bool) batch.Request {
-	r := batch.Request{Prompt: b.promptOf(c)}
+	r := batch.Request{PromptTokens: b.promptOf(c)}
 	if c.Route == nil || again || c.LastEvent != "" {
 		return r
 	}
 	r.Objective = c.Route.Objective
-	r.Spent = now.Sub(c.Arrived) + c.Waited
-	r.Kept = reserve(b.pools[c.Service].service, c)
+	r.Elapsed = now.Sub(c.Arrived) + c.Waited
+	r.Reserved = reserve(b.pools[c.Service].service, c)
 	return r
 }
 
@@ -47,7 +47,7 @@
 		return given
 	}
 	took := max(t.took.Seconds(), leastTook)
-	return float64(t.slots) * waitShare * (1 - asked.Kept) * asked.Objective.Seconds() / took
+	return float64(t.slots) * waitShare * (1 - asked.Reserved) * asked.Objective.Seconds() / took
 }
 
 // reserve is the part of an upstream's slots, and of the objective, that is kept for
--- a/internal/gateway/room_test.go
+++ b/internal/gateway/room_test.go
@@ -84,7 +84,7 @@
 	if got := (&target{vm: vm, slots: 6}).roomFor(asked, 12); got != 12 {
 		t.Errorf("room for %.1f while nothing is known", got)
 	}
-	asked.Kept = 0.5
+	asked.Reserved = 0.5
 	if a := quick.roomFor(asked, 0); a < 7.1 || a > 7.3 {
 		t.Errorf("room for %.2f for a less urgent request, expected half of 14.4", a)
 	}
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -261,12 +261,12 @@
 	case t.begun == 0:
 		return t.firstAfter()
 	}
-	least := max(stallLeast, time.Duration(passMargin*float64(t.engine.LongestPass())), min(stallPauses*t.gap, stallMost))
+	least := max(stallLeast, time.Duration(passMargin*float64(t.engine.MaxPassTime())), min(stallPauses*t.gap, stallMost))
 	return min(max(t.gap+stallDeviations*t.deviation, least), max(stallMost, least))
 }
 
 // echoAfter is the silence that counts once another node has found the head silent.
-func (t *target) echoAfter() time.Duration { return max(echoStall, t.engine.LongestPass()) }
+func (t *target) echoAfter() time.Duration { return max(echoStall, t.engine.MaxPassTime()) }
 
 // firstAfter is the silence that counts while none of the head's streams has begun.
 func (t *target) firstAfter() time.Duration {
--- a/internal/gateway/stalls_test.go
+++ b/internal/gateway/stalls_test.go
@@ -10,8 +10,8 @@
 )
 
 // busyEngine's longest pass takes 447 ms: 91 ms for a full batch of 22 and 356 ms of reading.
-var busyEngine = batch.Engine{Slots: 22, Stride: 8, StepTime: 6070 * time.Microsecond, PerSequence: 241 * time.Microsecond,
-	ReadPerSecond: 46000, Chunk: 2048, Pace: 1}
+var busyEngine = batch.Engine{Slots: 22, StepsPerPass: 8, StepTime: 6070 * time.Microsecond, PerSequence: 241 * time.Microsecond,
+	ReadPerSecond: 46000, MaxReadPerStep: 2048, Pace: 1}
 
 // TestOneStreamAtABusyHead: of 295 nodes each had one stream at a head or two, and knew no usual
 // pause. A pass that reads prompts takes up to 447 ms there, and 350 ms of silence counted as a
@@ -37,7 +37,7 @@
 
 	b, s := begin(0)
 	b.heard(start, s)
-	if silent(b, busyEngine.LongestPass()) {
+	if silent(b, busyEngine.MaxPassTime()) {
 		t.Error("a pass that reads counts as a stall")
 	}
 	if !silent(b, 600*time.Millisecond) {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -52,14 +52,14 @@
 // NewBudget returns a budget without credits.
 func NewBudget(l Limit, now time.Time) *Budget { return &Budget{limit: l, epoch: now, fixedAt: now} }
 
-// Request adds the credit that a caller's request earns.
-func (b *Budget) Request(now time.Time) {
+// RecordRequest adds the credit that a caller's request earns.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.earned[b.current%buckets] += b.limit.Ratio / windowsPerCredit
 }
 
-// Use is the decision on one repeat and the figures behind it.
-type Use struct {
+// Decision states whether a repeat may be made, and the figures behind it.
+type Decision struct {
 	// Allowed reports whether the repeat may be made; its credit has then been taken.
 	Allowed bool
 	// Earned is the credit earned by requests and Fixed that of the fixed part, both before
@@ -71,19 +71,19 @@
 
 // Take takes the credit for a repeat if there is one. nodes is the number of nodes that may use
 // the budget at once. While it is 0, which means unknown, the fixed part earns nothing.
-func (b *Budget) Take(now time.Time, nodes int) Use {
+func (b *Budget) Take(now time.Time, nodes int) Decision {
 	b.advance(now)
 	b.accrue(now, nodes)
-	use := Use{Fixed: b.fixed, Nodes: nodes}
+	decision := Decision{Fixed: b.fixed, Nodes: nodes}
 	for _, credit := range b.earned {
-		use.Earned += credit
+		decision.Earned += credit
 	}
-	if use.Earned+use.Fixed < 1-roundingTolerance {
-		return use
+	if decision.Earned+decision.Fixed < 1-roundingTolerance {
+		return decision
 	}
-	use.Allowed = true
+	decision.Allowed = true
 	b.spend()
-	return use
+	return decision
 }
 
 // spend removes one credit, taking those first that expire first.
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -40,7 +40,7 @@
 	start := time.Unix(0, 0)
 	b := NewBudget(Limit{Ratio: 0.2, Window: 10 * time.Second}, start)
 	for range 20 {
-		b.Request(start)
+		b.RecordRequest(start)
 	}
 	if !b.Take(start.Add(9*time.Second), 1).Allowed {
 		t.Error("no repeat within the window of its credit")
--- a/internal/retry/lives_test.go
+++ b/internal/retry/lives_test.go
@@ -36,7 +36,7 @@
 			}
 			node := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			for range rapid.IntRange(0, 12).Draw(t, "requests") {
-				node.Request(now)
+				node.RecordRequest(now)
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 12).Draw(t, "repeats") {
@@ -63,7 +63,7 @@
 	var requests, repeats []time.Time
 	for at := time.Duration(0); at < 2*limit.Window; at += 50 * time.Millisecond {
 		now := start.Add(at)
-		b.Request(now)
+		b.RecordRequest(now)
 		requests = append(requests, now)
 		for at >= limit.Window && b.Take(now, 1).Allowed {
 			repeats = append(repeats, now)
--- a/internal/spread/life.go
+++ b/internal/spread/life.go
@@ -9,29 +9,29 @@
 	minDurations      = 16
 )
 
-// Life estimates the mean service time of requests at a head from those that finish successfully.
+// ServiceTime estimates the mean service time of requests at a head from those that finish successfully.
 // The sizes of answers differ between models and change over the day, whereas the figure that an
 // engine reports is a mean over all of them.
-type Life struct {
+type ServiceTime struct {
 	mean     time.Duration
 	finished int
 }
 
-// Ended records the service time of one finished request.
-func (l *Life) Ended(elapsed time.Duration) {
-	l.finished++
-	weight := max(durationSmoothing, 1/float64(l.finished))
-	l.mean += time.Duration(weight * float64(elapsed-l.mean))
+// Record records the service time of one finished request.
+func (s *ServiceTime) Record(elapsed time.Duration) {
+	s.finished++
+	weight := max(durationSmoothing, 1/float64(s.finished))
+	s.mean += time.Duration(weight * float64(elapsed-s.mean))
 }
 
 // Mean returns the mean service time; zero while no request has finished.
-func (l *Life) Mean() time.Duration { return l.mean }
+func (s *ServiceTime) Mean() time.Duration { return s.mean }
 
-// Ends predicts how many of load requests finish within a time. It returns false while too few
-// requests have finished for a prediction.
-func (l *Life) Ends(load float64, within time.Duration) (float64, bool) {
-	if l.finished < minDurations || l.mean <= 0 {
+// PredictCompletions predicts how many of load requests finish within a time. It returns false while
+// too few requests have finished for a prediction.
+func (s *ServiceTime) PredictCompletions(load float64, within time.Duration) (float64, bool) {
+	if s.finished < minDurations || s.mean <= 0 {
 		return 0, false
 	}
-	return load * min(float64(within)/float64(l.mean), 1), true
+	return load * min(float64(within)/float64(s.mean), 1), true
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -7,7 +7,8 @@
 //
 // Instead, each node estimates how many requests all nodes together send until the next update, and
 // divides these so that the loads of the heads become equal. Each head gets a share according to its
-// headroom. If the total headroom is too small, each node rejects the fraction of its requests that does not fit.
+// headroom. If the total headroom is too small, each node rejects the fraction of its requests that
+// does not fit.
 //
 // The package is pure: it has no clock, no locks, no randomness of its own and no input or output.
 package spread
@@ -16,24 +17,24 @@
 type Head struct {
 	// Load is the known number of requests at the head, plus any penalty in requests.
 	Load float64
-	// Most is the upper bound for the load.
-	Most float64
-	// Ends is the expected number of its requests that finish before the next update.
-	Ends float64
+	// MaxLoad is the upper bound for the load.
+	MaxLoad float64
+	// Completions is the expected number of its requests that finish before the next update.
+	Completions float64
 }
 
 // remaining returns the load at the next update if no request is sent.
-func (h Head) remaining() float64 { return h.Load - h.Ends }
+func (h Head) remaining() float64 { return h.Load - h.Completions }
 
 // headroom returns how many requests the head can take until the next update.
-func (h Head) headroom() float64 { return max(h.Most-h.remaining(), 0) }
+func (h Head) headroom() float64 { return max(h.MaxLoad-h.remaining(), 0) }
 
 // Shares returns the fraction, 0 to 1, of the next requests that each head gets, where expected is the
 // number of requests that all nodes send until the next update. If the fractions add up to less than 1,
 // the rest of the requests is rejected.
 func Shares(heads []Head, expected float64) []float64 {
 	out := make([]float64, len(heads))
-	headroom := Room(heads)
+	headroom := Headroom(heads)
 	if headroom <= 0 {
 		return out
 	}
@@ -57,8 +58,8 @@
 	return min(max(level-h.remaining(), 0), h.headroom())
 }
 
-// Room returns how many requests all heads together can take until the next update.
-func Room(heads []Head) float64 {
+// Headroom returns how many requests all heads together can take until the next update.
+func Headroom(heads []Head) float64 {
 	sum := 0.0
 	for _, h := range heads {
 		sum += h.headroom()
@@ -66,15 +67,16 @@
 	return sum
 }
 
-// bisectionSteps is the number of bisection steps for the level; the result is far finer than one request.
+// bisectionSteps is the number of steps in which levelAfter halves the range of the level: the result
+// is far finer than one request.
 const bisectionSteps = 40
 
 // levelAfter returns the load that heads reach when so many requests are each sent to the head with the
 // lowest load. The requests must fit into the headroom.
 func levelAfter(heads []Head, requests float64) float64 {
-	low, high := heads[0].remaining(), heads[0].Most
+	low, high := heads[0].remaining(), heads[0].MaxLoad
 	for _, h := range heads {
-		low, high = min(low, h.remaining()), max(high, h.Most)
+		low, high = min(low, h.remaining()), max(high, h.MaxLoad)
 	}
 	for range bisectionSteps {
 		level := (low + high) / 2
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -21,7 +21,7 @@
 // TestSharesLevelHeadLoads checks that the expected requests make the heads' loads equal while there is
 // headroom for all of them.
 func TestSharesLevelHeadLoads(t *testing.T) {
-	heads := []Head{{Load: 10, Most: 40}, {Load: 20, Most: 40}, {Load: 35, Most: 40}, {Load: 30, Most: 40, Ends: 25}}
+	heads := []Head{{Load: 10, MaxLoad: 40}, {Load: 20, MaxLoad: 40}, {Load: 35, MaxLoad: 40}, {Load: 30, MaxLoad: 40, Completions: 25}}
 	const expected = 27
 	shares := Shares(heads, expected)
 	// Heads with 5, 10 and 20 requests are filled up to 20 2/3; the one with 35 gets none.
@@ -35,7 +35,7 @@
 // TestSurgeIsRejectedByHeadroom checks that, when more requests are expected than fit, each head gets
 // exactly as many as its headroom.
 func TestSurgeIsRejectedByHeadroom(t *testing.T) {
-	heads := []Head{{Load: 30, Most: 40, Ends: 10}, {Load: 90, Most: 40, Ends: 10}, {Load: 40, Most: 40, Ends: 5}}
+	heads := []Head{{Load: 30, MaxLoad: 40, Completions: 10}, {Load: 90, MaxLoad: 40, Completions: 10}, {Load: 40, MaxLoad: 40, Completions: 5}}
 	shares := Shares(heads, 100)
 	for i, want := range []float64{0.2, 0, 0.05} {
 		if math.Abs(shares[i]-want) > 1e-9 {
@@ -50,11 +50,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		heads := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Head {
 			load := rapid.Float64Range(0, 200).Draw(t, "load")
-			return Head{Load: load, Most: rapid.Float64Range(0, 60).Draw(t, "most"), Ends: load * rapid.Float64Range(0, 1).Draw(t, "ends")}
+			return Head{Load: load, MaxLoad: rapid.Float64Range(0, 60).Draw(t, "most"), Completions: load * rapid.Float64Range(0, 1).Draw(t, "ends")}
 		}), 1, 20).Draw(t, "heads")
 		expected := rapid.Float64Range(0, 500).Draw(t, "expected")
 		shares := Shares(heads, expected)
-		total, headroom := sum(shares), Room(heads)
+		total, headroom := sum(shares), Headroom(heads)
 		if total > 1+1e-9 || math.IsNaN(total) {
 			t.Fatalf("shares sum up to %v", total)
 		}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -263,9 +263,9 @@
 mutant "the offset is not learned" internal/batch/offset.go \
   's/if elapsed > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
 mutant "late requests are taken like others" internal/batch/admit.go \
-  's/return w\.InFlight < e\.Slots \&\& e\.First/return true || e.First/' ./internal/batch TestAdmit
+  's/return load\.InFlight < e\.Slots \&\& e\.TimeToFirstEvent/return true || e.TimeToFirstEvent/' ./internal/batch TestAdmit
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
-  's/r\.Kept \* float64/0 * float64/' ./internal/batch TestAdmit
+  's/r\.Reserved \* float64/0 * float64/' ./internal/batch TestAdmit
 mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
   's/return m\.usual - patience/return 0/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
