--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -43,7 +43,7 @@
 func (l *Limiter) Take(now time.Time, subject string, limit Limit) *Refusal {
 	b := l.bucket(now, subject, limit)
 	if limit.Concurrency > 0 && b.inFlight >= limit.Concurrency {
-		return &Refusal{Reason: OverConc, RetryAfter: minRetryAfter + initialServiceTime}
+		return &Refusal{Reason: OverConcurrency, RetryAfter: minRetryAfter + initialServiceTime}
 	}
 	if limit.Rate > 0 && !b.limiter.AllowN(now, 1) {
 		return &Refusal{Reason: OverRate, RetryAfter: b.retryAfter(now)}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -15,13 +15,13 @@
 
 // The reasons for a refusal.
 const (
-	Displaced     Reason = "displaced"
-	QueueFull     Reason = "queue-full"
-	DeadlineShort Reason = "deadline-short"
-	NoUpstream    Reason = "no-upstream"
-	OverRate      Reason = "over-rate"
-	OverConc      Reason = "over-concurrency"
-	Stopping      Reason = "stopping"
+	Displaced       Reason = "displaced"
+	QueueFull       Reason = "queue-full"
+	DeadlineShort   Reason = "deadline-short"
+	NoUpstream      Reason = "no-upstream"
+	OverRate        Reason = "over-rate"
+	OverConcurrency Reason = "over-concurrency"
+	Stopping        Reason = "stopping"
 )
 
 // Refusal describes a refused request, which did not run at any upstream.
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -68,7 +68,7 @@
 			d.shares[subject][id] = s.damper.Apply(now, subject+" "+id, share)
 		}
 	}
-	s.damper.Forget(now)
+	s.damper.Prune(now)
 }
 
 // leaseRuns reports whether nodes that have not been heard of may still be
@@ -100,7 +100,7 @@
 		if level == most && now.Sub(s.heardAt(rec.ID)) > s.leases.demand {
 			continue
 		}
-		out = append(out, quota.Demand{Entry: rec.ID, Rate: quota.WantsAll})
+		out = append(out, quota.Demand{Entry: rec.ID, Rate: quota.UnknownRate})
 	}
 	return out
 }
@@ -160,7 +160,7 @@
 	demands := []quota.Demand{{Entry: s.k.config.FailureDomain, Rate: own}}
 	for _, domain := range others {
 		e, known := s.domains[domain]
-		rate := quota.WantsAll
+		rate := quota.UnknownRate
 		if known && now.Sub(e.at) <= s.leases.demand {
 			rate = rateOf(e.demand, subject)
 		}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -200,7 +200,7 @@
 	live := s.liveNodes(now)
 	s.nodes = snapshot.Nodes
 	s.leases = leasesFor(exchangeInterval(s.k.config.ExchangeInterval, len(s.neighbours)))
-	s.damper.Hold = s.leases.hold
+	s.damper.Delay = s.leases.hold
 	sort.Strings(live)
 	d := &duties{
 		peers:    s.exchangePeers(live),
--- a/internal/entry/desk.go
+++ b/internal/entry/desk.go
@@ -35,7 +35,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.upstreams = service.Upstreams
-	d.tracker.Keep(ids)
+	d.tracker.Retain(ids)
 	d.queue.Resize(now, part, service.Queue)
 	d.queue.Expire(now)
 	if part == 0 {
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	candidates := d.tracker.Candidates(now, d.upstreams, blocks)
-	request := routing.Request{Now: now, Affinity: rand.Uint64(), Tried: tried}
+	request := routing.Request{Now: now, Affinity: rand.Uint64(), Attempted: tried}
 	if len(blocks) > 0 {
 		request.Affinity = blocks[0]
 	}
@@ -83,14 +83,14 @@
 	if i < 0 {
 		return view.Upstream{}, false
 	}
-	d.tracker.Begin(candidates[i].ID, blocks)
+	d.tracker.RecordStart(candidates[i].ID, blocks)
 	return candidates[i].Upstream, true
 }
 
 func (d *desk) took(id string, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.Took(id, took)
+	d.tracker.RecordDuration(id, took)
 }
 
 // end notes the end of a try; it reports whether the upstream got ejected.
@@ -101,14 +101,14 @@
 	for i, u := range d.upstreams {
 		peers[i] = u.ID
 	}
-	return d.tracker.End(now, id, failed, peers)
+	return d.tracker.RecordEnd(now, id, failed, peers)
 }
 
 // rest notes that an upstream wants no request for so long.
 func (d *desk) rest(now time.Time, id string, rest time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.Rest(now, id, rest)
+	d.tracker.RecordBackoff(now, id, rest)
 }
 
 func (d *desk) takeRetry() bool {
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -66,7 +66,7 @@
 func refused(r *admission.Refusal) *verdict.Error {
 	status := http.StatusServiceUnavailable
 	switch r.Reason {
-	case admission.OverRate, admission.OverConc:
+	case admission.OverRate, admission.OverConcurrency:
 		status = http.StatusTooManyRequests
 	}
 	return &verdict.Error{
@@ -79,13 +79,13 @@
 }
 
 var refusalDetails = map[admission.Reason]string{
-	admission.Displaced:     "a worthier request took the place in the queue",
-	admission.QueueFull:     "the queue is full of requests at least as worthy",
-	admission.DeadlineShort: "the request would not be answered before its deadline",
-	admission.NoUpstream:    "no upstream of the service is whole now",
-	admission.OverRate:      "the team is over its rate",
-	admission.OverConc:      "the team has too many requests in flight",
-	admission.Stopping:      "this entry is shutting down",
+	admission.Displaced:       "a worthier request took the place in the queue",
+	admission.QueueFull:       "the queue is full of requests at least as worthy",
+	admission.DeadlineShort:   "the request would not be answered before its deadline",
+	admission.NoUpstream:      "no upstream of the service is whole now",
+	admission.OverRate:        "the team is over its rate",
+	admission.OverConcurrency: "the team has too many requests in flight",
+	admission.Stopping:        "this entry is shutting down",
 }
 
 // admit waits for the call's turn. A refusal comes at once.
--- a/internal/quota/damper.go
+++ b/internal/quota/damper.go
@@ -6,11 +6,11 @@
 // compute shares from reports of different ages: if one raised its share before
 // the others received the reports behind it, the sum would exceed the limit.
 type Damper struct {
-	// Hold is the delay of an increase: at least the age of the oldest report
+	// Delay is how long an increase is delayed: at least the age of the oldest report
 	// that any process still computes with.
-	Hold time.Duration
+	Delay time.Duration
 
-	// samples holds the shares computed within Hold, by subject.
+	// samples holds the shares computed within Delay, by subject.
 	samples map[string][]sample
 }
 
@@ -21,7 +21,7 @@
 }
 
 // Apply records the newly computed share and returns the one to use: the minimum
-// of the shares computed within Hold.
+// of the shares computed within Delay.
 func (d *Damper) Apply(now time.Time, subject string, share float64) float64 {
 	if d.samples == nil {
 		d.samples = make(map[string][]sample)
@@ -29,7 +29,7 @@
 	kept := d.samples[subject][:0]
 	minShare := share
 	for _, s := range d.samples[subject] {
-		if now.Sub(s.at) <= d.Hold {
+		if now.Sub(s.at) <= d.Delay {
 			kept = append(kept, s)
 			minShare = min(minShare, s.share)
 		}
@@ -38,10 +38,10 @@
 	return minShare
 }
 
-// Forget removes subjects for which Apply was not called within Hold.
-func (d *Damper) Forget(now time.Time) {
+// Prune removes subjects for which Apply was not called within Delay.
+func (d *Damper) Prune(now time.Time) {
 	for subject, all := range d.samples {
-		if now.Sub(all[len(all)-1].at) > d.Hold {
+		if now.Sub(all[len(all)-1].at) > d.Delay {
 			delete(d.samples, subject)
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -23,8 +23,8 @@
 	Rate  float64
 }
 
-// WantsAll is the rate of an unknown demand, which may be as high as the limit.
-const WantsAll = math.MaxFloat64 / 4
+// UnknownRate is the rate of an unknown demand, which may be as high as the limit.
+const UnknownRate = math.MaxFloat64 / 4
 
 // Floor returns the share that an entry may use while it receives reports of too
 // few other entries to compute a higher one.
--- a/internal/routing/rest_test.go
+++ b/internal/routing/rest_test.go
@@ -23,8 +23,8 @@
 	if got := chosen(now); got != "a" {
 		t.Fatalf("%q was chosen from an idle upstream a and a full upstream b", got)
 	}
-	tracker.Rest(now, "a", 3*time.Second)
-	tracker.Rest(now, "a", time.Second)
+	tracker.RecordBackoff(now, "a", 3*time.Second)
+	tracker.RecordBackoff(now, "a", time.Second)
 	if got := chosen(now.Add(2 * time.Second)); got != "b" {
 		t.Errorf("%q was chosen while a asks for backoff", got)
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,17 +13,17 @@
 // Candidate is one upstream with this entry's statistics about it.
 type Candidate struct {
 	view.Upstream
-	// Own is the number of this entry's requests in flight there.
-	Own int
+	// LocalInFlight is the number of this entry's requests in flight there.
+	LocalInFlight int
 	// Slowness is the upstream's smoothed time for a request as a multiple of
 	// its peers' median; zero when unknown.
 	Slowness float64
 	// Ejected is true while the upstream is ejected for failures or slowness.
 	Ejected bool
-	// Resting is true while the upstream asks this entry to back off.
-	Resting bool
-	// HasPrefix is the estimated fraction of the prompt, 0 to 1, in the upstream's cache.
-	HasPrefix float64
+	// BackingOff is true while the upstream asks this entry to back off.
+	BackingOff bool
+	// CachedShare is the estimated fraction of the prompt, 0 to 1, in the upstream's cache.
+	CachedShare float64
 }
 
 // Request holds the properties of a request that the routing decision depends on.
@@ -32,8 +32,8 @@
 	// Affinity is the hash of the prompt's first block, or a random number for
 	// a request without a prompt. It breaks ties between equal scores.
 	Affinity uint64
-	// Tried holds the IDs of upstreams that already refused the request.
-	Tried map[string]bool
+	// Attempted holds the IDs of upstreams that already refused the request.
+	Attempted map[string]bool
 }
 
 // Filter removes upstreams that cannot or must not serve the request.
@@ -55,20 +55,20 @@
 	Pick(r Request, cs []Candidate, scores []float64) int
 }
 
-// TrustFilter keeps upstreams that were reported healthy recently enough and have
+// EligibilityFilter keeps upstreams that were reported healthy recently enough and have
 // not yet refused this request.
-type TrustFilter struct{}
+type EligibilityFilter struct{}
 
 // Keep implements Filter.
-func (TrustFilter) Keep(r Request, c Candidate) bool {
-	return r.Now.Before(c.Until) && !r.Tried[c.ID]
+func (EligibilityFilter) Keep(r Request, c Candidate) bool {
+	return r.Now.Before(c.Until) && !r.Attempted[c.ID]
 }
 
-// RestFilter keeps upstreams that have not asked this entry to back off.
-type RestFilter struct{}
+// BackoffFilter keeps upstreams that have not asked this entry to back off.
+type BackoffFilter struct{}
 
 // Keep implements Filter.
-func (RestFilter) Keep(_ Request, c Candidate) bool { return !c.Resting }
+func (BackoffFilter) Keep(_ Request, c Candidate) bool { return !c.BackingOff }
 
 // ExpectedFirstTokenScorer estimates the time to the first token: the wait for
 // a slot, from this entry's requests in flight and the upstream's lagging report,
@@ -79,19 +79,19 @@
 	ServiceTime time.Duration
 	// Prefill is the time to read a prompt that is not in the cache.
 	Prefill time.Duration
-	// Crowding is the extra cost of a full upstream that has no queue yet. A partly
+	// FullLoadCost is the extra cost of a full upstream that has no queue yet. A partly
 	// used upstream gets a proportional part of it, so that load spreads before
 	// queues form.
-	Crowding time.Duration
+	FullLoadCost time.Duration
 }
 
 // Score implements Scorer.
 func (s ExpectedFirstTokenScorer) Score(_ Request, c Candidate, _ []Candidate) float64 {
-	load := max(c.InFlight+c.Queued, c.Own)
+	load := max(c.InFlight+c.Queued, c.LocalInFlight)
 	perSlot := s.ServiceTime.Seconds() / float64(c.Slots)
 	wait := float64(max(load+1-c.Slots, 0)) * perSlot
-	loadCost := s.Crowding.Seconds() * min(float64(load)/float64(c.Slots), 1)
-	prefill := s.Prefill.Seconds() * (1 - c.HasPrefix)
+	loadCost := s.FullLoadCost.Seconds() * min(float64(load)/float64(c.Slots), 1)
+	prefill := s.Prefill.Seconds() * (1 - c.CachedShare)
 	return (wait + loadCost + prefill) * max(c.Slowness, 1)
 }
 
@@ -101,8 +101,8 @@
 	// Margin is the fraction by which a score may exceed the lowest and still
 	// count as equal.
 	Margin float64
-	// Noise is the difference, in seconds, up to which scores count as equal.
-	Noise float64
+	// Tolerance is the difference, in seconds, up to which scores count as equal.
+	Tolerance float64
 }
 
 // Pick implements Picker.
@@ -114,7 +114,7 @@
 	best := -1
 	var bestHash uint64
 	for i, s := range scores {
-		if s > lowest*(1+p.Margin)+p.Noise {
+		if s > lowest*(1+p.Margin)+p.Tolerance {
 			continue
 		}
 		h := rendezvous(r.Affinity, cs[i].ID)
@@ -175,15 +175,15 @@
 // DefaultPolicy returns the policy that entries use.
 func DefaultPolicy(serviceTime time.Duration) Policy {
 	const (
-		prefill  = 200 * time.Millisecond
-		crowding = 100 * time.Millisecond
-		margin   = 0.1
-		noise    = 0.005
+		prefill      = 200 * time.Millisecond
+		fullLoadCost = 100 * time.Millisecond
+		margin       = 0.1
+		tolerance    = 0.005
 	)
 	return Policy{
-		Filters: []Filter{TrustFilter{}, RestFilter{}},
-		Scorer:  ExpectedFirstTokenScorer{ServiceTime: serviceTime, Prefill: prefill, Crowding: crowding},
-		Picker:  LowestScorePicker{Margin: margin, Noise: noise},
+		Filters: []Filter{EligibilityFilter{}, BackoffFilter{}},
+		Scorer:  ExpectedFirstTokenScorer{ServiceTime: serviceTime, Prefill: prefill, FullLoadCost: fullLoadCost},
+		Picker:  LowestScorePicker{Margin: margin, Tolerance: tolerance},
 	}
 }
 
--- a/internal/routing/tracker.go
+++ b/internal/routing/tracker.go
@@ -95,12 +95,12 @@
 	for i, u := range ups {
 		s := t.stats(u.ID)
 		out[i] = Candidate{
-			Upstream:  u,
-			Own:       s.inFlight,
-			Slowness:  s.slowness(median),
-			Ejected:   now.Before(s.ejectedUntil),
-			Resting:   now.Before(s.backoffUntil),
-			HasPrefix: t.cachedShare(u.ID, blocks),
+			Upstream:      u,
+			LocalInFlight: s.inFlight,
+			Slowness:      s.slowness(median),
+			Ejected:       now.Before(s.ejectedUntil),
+			BackingOff:    now.Before(s.backoffUntil),
+			CachedShare:   t.cachedShare(u.ID, blocks),
 		}
 	}
 	return out
@@ -117,8 +117,8 @@
 	return 0
 }
 
-// Begin records that a request is sent to the upstream.
-func (t *Tracker) Begin(id string, blocks []uint64) {
+// RecordStart records that a request is sent to the upstream.
+func (t *Tracker) RecordStart(id string, blocks []uint64) {
 	t.stats(id).inFlight++
 	t.retryTokens = min(t.retryTokens+retryShare, retryBurst)
 	for _, b := range blocks {
@@ -159,8 +159,8 @@
 	return durations[(len(durations)-1)/2]
 }
 
-// Took records the duration of a complete request at the upstream.
-func (t *Tracker) Took(id string, elapsed time.Duration) {
+// RecordDuration records the duration of a complete request at the upstream.
+func (t *Tracker) RecordDuration(id string, elapsed time.Duration) {
 	s := t.stats(id)
 	s.durations++
 	// The first few durations count equally, so that one outlier has little weight.
@@ -168,9 +168,9 @@
 	s.duration += time.Duration(weight * float64(elapsed-s.duration))
 }
 
-// End records the end of a request. It reports whether this ejects the upstream;
+// RecordEnd records the end of a request. It reports whether this ejects the upstream;
 // peers are the IDs of all upstreams of the service.
-func (t *Tracker) End(now time.Time, id string, failed bool, peers []string) bool {
+func (t *Tracker) RecordEnd(now time.Time, id string, failed bool, peers []string) bool {
 	s := t.stats(id)
 	s.inFlight = max(s.inFlight-1, 0)
 	if !failed {
@@ -213,8 +213,8 @@
 	return true
 }
 
-// Rest records that an upstream asks this entry to back off for a time.
-func (t *Tracker) Rest(now time.Time, id string, backoff time.Duration) {
+// RecordBackoff records that an upstream asks this entry to back off for a time.
+func (t *Tracker) RecordBackoff(now time.Time, id string, backoff time.Duration) {
 	s := t.stats(id)
 	if until := now.Add(min(backoff, backpressure.LongestRest)); until.After(s.backoffUntil) {
 		s.backoffUntil = until
@@ -231,8 +231,8 @@
 	return true
 }
 
-// Own returns the number of this entry's requests in flight at the upstream.
-func (t *Tracker) Own(id string) int { return t.stats(id).inFlight }
+// LocalInFlight returns the number of this entry's requests in flight at the upstream.
+func (t *Tracker) LocalInFlight(id string) int { return t.stats(id).inFlight }
 
 // stats returns the statistics of an upstream, which it creates on first use.
 func (t *Tracker) stats(id string) *stats {
@@ -244,9 +244,9 @@
 	return s
 }
 
-// Keep removes the statistics of all upstreams that are not in ids and have no request
+// Retain removes the statistics of all upstreams that are not in ids and have no request
 // in flight, so that memory use follows the size of the fleet.
-func (t *Tracker) Keep(ids map[string]bool) {
+func (t *Tracker) Retain(ids map[string]bool) {
 	for id, s := range t.upstreams {
 		if !ids[id] && s.inFlight == 0 {
 			delete(t.upstreams, id)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -420,7 +420,7 @@
 mutant "backpressure: what reports say is not heard" platform/engine.go \
   's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
 mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
-  's/, RestFilter\{\}//' ./internal/routing TestBackingOffUpstreamIsNotChosen
+  's/, BackoffFilter\{\}//' ./internal/routing TestBackingOffUpstreamIsNotChosen
 mutant "an entry that is written late counts as the newest word" internal/director/watch.go \
   's/ \|\| v\.outdates\(vm\.Membership\)//' ./internal/director TestEntryOfAFormerGroupFreesNoVM
 mutant "a group is known by its members' entries alone" internal/director/groups.go \
--- a/test/policy/bench/quota.go
+++ b/test/policy/bench/quota.go
@@ -73,7 +73,7 @@
 		entries[i] = &limitEntry{
 			limiter: admission.NewLimiter(),
 			share:   s.Limit / float64(s.Entries),
-			damper:  quota.Damper{Hold: s.Hold},
+			damper:  quota.Damper{Delay: s.Hold},
 		}
 	}
 	demand := make([]float64, s.Entries)
@@ -192,7 +192,7 @@
 		if i != j && silent[j] > lease {
 			continue
 		}
-		rate := quota.WantsAll
+		rate := quota.UnknownRate
 		at := step - lag
 		if i == j {
 			at = step
--- a/test/policy/bench/routing.go
+++ b/test/policy/bench/routing.go
@@ -93,7 +93,7 @@
 
 // Score implements routing.Scorer.
 func (s leastInFlightScorer) Score(_ routing.Request, c routing.Candidate, _ []routing.Candidate) float64 {
-	return float64(c.Own) + s.random.Float64()/2
+	return float64(c.LocalInFlight) + s.random.Float64()/2
 }
 
 // affinityScorer is a rival: the same prompt always goes to the same place.
@@ -192,13 +192,13 @@
 	blocks := []uint64{one.prompt}
 	for {
 		candidates := r.tracker.Candidates(now, r.views(now), blocks)
-		i := r.policy.Choose(routing.Request{Now: now, Affinity: one.prompt, Tried: tried}, candidates)
+		i := r.policy.Choose(routing.Request{Now: now, Affinity: one.prompt, Attempted: tried}, candidates)
 		if i < 0 || (len(tried) > 0 && !r.tracker.TakeRetry()) {
 			r.failed++
 			return
 		}
 		r.tries++
-		r.tracker.Begin(entryName(i), blocks)
+		r.tracker.RecordStart(entryName(i), blocks)
 		if r.ups[i].fault != Dead {
 			one.upstream = i
 			one.sent = now
@@ -206,7 +206,7 @@
 			return
 		}
 		tried[entryName(i)] = true
-		r.tracker.End(now, entryName(i), true, r.peers())
+		r.tracker.RecordEnd(now, entryName(i), true, r.peers())
 	}
 }
 
@@ -260,8 +260,8 @@
 	u := r.ups[one.upstream]
 	u.running--
 	r.served++
-	r.tracker.Took(entryName(one.upstream), now.Sub(one.sent))
-	r.tracker.End(now, entryName(one.upstream), false, r.peers())
+	r.tracker.RecordDuration(entryName(one.upstream), now.Sub(one.sent))
+	r.tracker.RecordEnd(now, entryName(one.upstream), false, r.peers())
 	r.report(now, u)
 	if len(u.waiting) > 0 {
 		next := u.waiting[0]
