--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -9,7 +9,7 @@
 	// Objective is the target for the time from the caller's first attempt to the first
 	// event of the response; zero means that there is no target.
 	Objective time.Duration
-	// Elapsed is the part of Objective that has elapsed since the caller's first attempt.
+	// Elapsed is the time since the caller's first attempt.
 	Elapsed time.Duration
 	// Reserved is the fraction, 0 to 1, of the slack that is reserved for more urgent requests.
 	// The slack is the objective less the time to the first event on an idle engine. A less
@@ -30,8 +30,8 @@
 
 // Admit reports whether an engine admits a request, given the offset learned for its
 // model. A request that can still meet its objective is admitted if the prediction says
-// that it will. A request that is late on any engine is admitted only if it makes no
-// other request late. Prompt tokens above the mean prompt length do not count against
+// that it will. A request that would be late even on an idle engine is admitted only if
+// it makes no other request late. Prompt tokens above the mean prompt length do not count against
 // their own request, so that long prompts are not served less often than short ones.
 func (e Engine) Admit(load Load, r Request, offset time.Duration) bool {
 	if !e.CanPredict() || r.Objective <= 0 {
@@ -45,10 +45,10 @@
 		return load.InFlight < e.Slots
 	}
 	prompt := min(r.PromptTokens, e.MeanPrompt)
-	minFirst := e.TimeToFirstEvent(Load{}, prompt) + offset
-	reserved := time.Duration(r.Reserved * float64(max(r.Objective-minFirst, 0)))
+	idleFirst := e.TimeToFirstEvent(Load{}, prompt) + offset
+	reserved := time.Duration(r.Reserved * float64(max(r.Objective-idleFirst, 0)))
 	left := r.Objective - reserved - r.Elapsed
-	if minFirst <= left {
+	if idleFirst <= left {
 		return e.TimeToFirstEvent(load, prompt)+offset <= left
 	}
 	after := Load{InFlight: load.InFlight + 1, UnreadTokens: load.UnreadTokens + r.PromptTokens, PassTime: load.PassTime}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -28,7 +28,8 @@
 
 // Budget is this node's part of one service's budget, counted in credits. A request earns a fraction
 // of a credit, the passing of time earns the node's share of the fixed part, and a repeat costs one
-// credit. Unused credits expire one window after they were earned, and when the process exits.
+// credit. Unused credits of requests expire after one window, those of the fixed part are limited to
+// what one window earns, and all are lost when the process exits.
 //
 // Invariant: the limit holds over any number of incarnations of a node, since each request earns
 // its credit once, in the incarnation that received it, and a new incarnation starts without
