--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -31,8 +31,9 @@
 // Admit reports whether an engine admits a request, given the offset learned for its
 // model. A request that can still meet its objective is admitted if the prediction says
 // that it will. A request that would be late even on an idle engine is admitted only if
-// it makes no other request late. Prompt tokens above the mean prompt length do not count against
-// their own request, so that long prompts are not served less often than short ones.
+// it makes no other request late. Prompt tokens above the mean prompt length do not count
+// against their own request, so that long prompts are not served less often than short
+// ones.
 func (e Engine) Admit(load Load, r Request, offset time.Duration) bool {
 	if !e.CanPredict() || r.Objective <= 0 {
 		return true
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -50,7 +50,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		heads := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Head {
 			load := rapid.Float64Range(0, 200).Draw(t, "load")
-			return Head{Load: load, MaxLoad: rapid.Float64Range(0, 60).Draw(t, "most"), Completions: load * rapid.Float64Range(0, 1).Draw(t, "ends")}
+			return Head{Load: load, MaxLoad: rapid.Float64Range(0, 60).Draw(t, "most"), Completions: load * rapid.Float64Range(0, 1).Draw(t, "finishing share")}
 		}), 1, 20).Draw(t, "heads")
 		expected := rapid.Float64Range(0, 500).Draw(t, "expected")
 		shares := Shares(heads, expected)
