--- a/internal/routing/tracker.go
+++ b/internal/routing/tracker.go
@@ -216,7 +216,7 @@
 // RecordBackoff records that an upstream asks this entry to back off for a time.
 func (t *Tracker) RecordBackoff(now time.Time, id string, backoff time.Duration) {
 	s := t.stats(id)
-	if until := now.Add(min(backoff, backpressure.LongestRest)); until.After(s.backoffUntil) {
+	if until := now.Add(min(backoff, backpressure.MaxBackoff)); until.After(s.backoffUntil) {
 		s.backoffUntil = until
 	}
 }
