--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -69,7 +69,7 @@
 			d.shares[subject][id] = s.damper.Apply(now, subject+" "+id, share)
 		}
 	}
-	s.damper.Forget(now)
+	s.damper.Prune(now)
 }
 
 // demandLeaseActive reports whether nodes that have not responded yet may still do so within
@@ -101,7 +101,7 @@
 		if reach == majorityReachable && now.Sub(s.peerLastSeen(rec.ID)) > s.leases.demand {
 			continue
 		}
-		out = append(out, quota.Demand{Entry: rec.ID, Rate: quota.WantsAll})
+		out = append(out, quota.Demand{Entry: rec.ID, Rate: quota.UnknownRate})
 	}
 	return out
 }
@@ -164,7 +164,7 @@
 	demands := []quota.Demand{{Entry: s.k.config.FailureDomain, Rate: domainRate}}
 	for _, domain := range others {
 		e, known := s.domains[domain]
-		rate := quota.WantsAll
+		rate := quota.UnknownRate
 		if known && now.Sub(e.reportedAt) <= s.leases.demand {
 			rate = rateOf(e.demand, subject)
 		}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -206,7 +206,7 @@
 	live := s.liveNodes(now)
 	s.nodes = snapshot.Nodes
 	s.leases = leasesFor(exchangeInterval(s.k.config.ExchangeInterval, len(s.localPeers)))
-	s.damper.Hold = s.leases.increaseDelay
+	s.damper.Delay = s.leases.increaseDelay
 	sort.Strings(live)
 	d := &tickResult{
 		peers:    s.exchangePeers(live),
