--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -60,7 +60,7 @@
 		if groups.Busy() {
 			return min(busySettle*time.Duration(max(nodes.Size(), busyNodes))/busyNodes, mostBusy)
 		}
-		return feed.IdleSettle
+		return feed.IdleWatchPause
 	})
 	state := func() *marbleroadv1.NodeState {
 		out := &marbleroadv1.NodeState{
@@ -77,7 +77,7 @@
 	}
 	nodes = cluster.New(cluster.Config{Self: self, Listen: s.Cluster.Listen, Interval: s.Cluster.Interval}, b.log, store, b.peers, state)
 	suspects := quarantine.NewTable()
-	nodes.Exchange(quarantine.NewGossip(suspects, b.log))
+	nodes.SetQuarantine(quarantine.NewGossip(suspects, b.log))
 	archive := quarantine.NewArchive(suspects, store, b.log, leader.Reads, clock.Now)
 	server = gateway.NewServer(b.gatewayConfig(), gateway.Parts{
 		Log:             b.log,
@@ -87,13 +87,13 @@
 		Directory:       directory,
 		Caller:          platform.Caller{},
 		Upstream:        platform.Upstream{},
-		Nodes:           nodes.Counted,
-		StateTTL:        nodes.LiveFor,
+		Nodes:           nodes.KnownSize,
+		StateTTL:        nodes.LivenessTimeout,
 		Suspect:         func(group string, generation uint64) { groups.Suspect(group, generation) },
 		Sharing:         func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
 		StepDown:        func() { groups.StepDown() },
 		Dissolving:      func() []string { return groups.Dissolving() },
-		TriggerExchange: nodes.Nudge,
+		TriggerExchange: nodes.TriggerExchange,
 		Quarantine:      suspects,
 	})
 	engines := platform.NewEngine(newTransport(s.Cluster.Listen, reportIdle, &b.peers.Traffic.Upstreams))
@@ -114,7 +114,7 @@
 		Demand:   server,
 	})
 	nodes.OnPeer(server.ReceiveState)
-	nodes.ServeFeed(&feed.Server{Directory: directory, Keeper: keeper})
+	nodes.ServeFeed(&feed.Server{Directory: directory, Cache: keeper})
 	keeper.OnChange(server.Rebuild)
 	keeper.OnReturn(archive.Refresh)
 	directory.OnChange(func(*fleet.Snapshot) { server.Rebuild() })
@@ -135,11 +135,11 @@
 	operators.Take(inspect.ReleasePath, inspect.Release(suspects))
 	return assemble(
 		startup.NewWatch(b.log, b.metrics,
-			startup.Part{Name: "configuration", There: func() bool { return keeper.Catalog() != nil }},
-			startup.Part{Name: "upstreams", There: func() bool { return directory.Snapshot() != nil }},
-			startup.Part{Name: "nodes", There: func() bool { return nodes.Counted() > 0 }},
-			startup.Part{Name: "keys", There: server.KeysVerified},
-			startup.Part{Name: "groups", There: server.HasGroups},
+			startup.Requirement{Name: "configuration", Met: func() bool { return keeper.Catalog() != nil }},
+			startup.Requirement{Name: "upstreams", Met: func() bool { return directory.Snapshot() != nil }},
+			startup.Requirement{Name: "nodes", Met: func() bool { return nodes.KnownSize() > 0 }},
+			startup.Requirement{Name: "keys", Met: server.KeysVerified},
+			startup.Requirement{Name: "groups", Met: server.HasGroups},
 		),
 		operators,
 		archive,
@@ -161,7 +161,7 @@
 func (n liveNodes) Size() int { return (*n.cluster).Size() }
 
 // Domain implements feed.Nodes.
-func (n liveNodes) Domain() ([]cluster.Record, bool) { return (*n.cluster).Domain() }
+func (n liveNodes) DomainNodes() ([]cluster.Record, bool) { return (*n.cluster).DomainNodes() }
 
 func (b base) gatewayConfig() gateway.Config {
 	s := b.settings
--- a/internal/director/state.go
+++ b/internal/director/state.go
@@ -336,7 +336,7 @@
 		return
 	}
 	s.d.dissolving.Store(&names)
-	s.d.parts.Nodes.Nudge()
+	s.d.parts.Nodes.TriggerExchange()
 }
 
 // publishPreparing publishes the models for whose groups other groups are being dissolved.
@@ -351,7 +351,7 @@
 		return
 	}
 	s.d.preparing.Store(&models)
-	s.d.parts.Nodes.Nudge()
+	s.d.parts.Nodes.TriggerExchange()
 }
 
 func (s *state) vm(id string) *vmState {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -79,7 +79,7 @@
 	// reserved is the slot for the next attempt, if one was reserved before the last send was canceled.
 	reserved *reservation
 	// repeatUse is the budget decision for the most recent repeat.
-	repeatUse retry.Use
+	repeatUse retry.Decision
 	// firstByte is the time from the arrival of the call to the first event or the response.
 	firstByte time.Duration
 	// lastEventAt is the time of the most recent event, longestPause the longest time between two events.
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -261,7 +261,7 @@
 func (tt *targetTable) cancelRestarted(snapshot *fleet.Snapshot) {
 	for _, t := range tt.targets {
 		vm := snapshot.VMs[t.vm.ID]
-		if vm == nil || vm.SameLife(t.vm) {
+		if vm == nil || vm.SameIncarnation(t.vm) {
 			continue
 		}
 		for s := range t.running {
@@ -289,22 +289,22 @@
 // batchEngine returns the published figures of the engine for one model.
 func batchEngine(e *catalog.Engine, m catalog.Model) batch.Engine {
 	return batch.Engine{
-		Slots:         e.Slots,
-		Stride:        e.Stride,
-		StepTime:      e.StepTime,
-		PerSequence:   e.PerSequence,
-		ReadPerSecond: e.ReadPerSecond,
-		Chunk:         e.Chunk,
-		UsualPrompt:   e.UsualPrompt,
-		UsualAnswer:   e.UsualAnswer,
-		Pace:          m.Pace,
+		Slots:          e.Slots,
+		StepsPerPass:   e.Stride,
+		StepTime:       e.StepTime,
+		PerSequence:    e.PerSequence,
+		ReadPerSecond:  e.ReadPerSecond,
+		MaxReadPerStep: e.Chunk,
+		MeanPrompt:     e.UsualPrompt,
+		MeanAnswer:     e.UsualAnswer,
+		Pace:           m.Pace,
 	}
 }
 
 // retainState returns the existing target, updated, if it is the same incarnation of the VM; next otherwise.
 func (tt *targetTable) retainState(next *target) *target {
 	old := tt.targets[next.key()]
-	if old == nil || !old.vm.SameLife(next.vm) {
+	if old == nil || !old.vm.SameIncarnation(next.vm) {
 		next.running = make(map[*send]struct{})
 		return next
 	}
@@ -345,7 +345,7 @@
 	}
 	t.responseTime += time.Duration(timeSmoothing * float64(elapsed-t.responseTime))
 	if m := tt.demand[s.modelKey]; m != nil && s.call.LastEvent == "" {
-		m.serviceTime.Ended(elapsed)
+		m.serviceTime.Record(elapsed)
 	}
 }
 
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -68,7 +68,7 @@
 // read and the team is known.
 func (c *Call) fingerprint() quarantine.Fingerprint {
 	if c.cachedFingerprint == 0 {
-		c.cachedFingerprint = quarantine.Asked{Team: c.Team, Method: c.Method, Host: c.Host, Target: c.Path + c.Query, Body: c.Body}.Fingerprint()
+		c.cachedFingerprint = quarantine.Request{Team: c.Team, Method: c.Method, Host: c.Host, Target: c.Path + c.Query, Body: c.Body}.Fingerprint()
 	}
 	return c.cachedFingerprint
 }
@@ -100,7 +100,7 @@
 	Judge(resp *http.Response, requestID string) error
 	// Condition reads what a response says about the condition of the upstream. The error names the parts
 	// that can't be read; the notice holds all others.
-	Condition(status int, h http.Header) (backpressure.Notice, error)
+	Condition(status int, h http.Header) (backpressure.Signals, error)
 }
 
 // hopHeaders apply to one connection only and are not passed on.
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -51,7 +51,7 @@
 	}
 	key := demandKey{c.Service, c.Model}
 	request := tt.request(now, c, len(tried) > 0)
-	candidates, throttled := tt.candidates(now, p.targetsFor(c.Model), tried, request.Kept)
+	candidates, throttled := tt.candidates(now, p.targetsFor(c.Model), tried, request.Reserved)
 	if len(candidates) == 0 && throttled.count > 0 {
 		tt.lastRejection = now
 		return nil, evaluation{throttled: throttled}, allThrottled
@@ -65,7 +65,7 @@
 	selected.throttled = throttled
 	reason := selected.refusal(p.service.Engine != nil)
 	if selected.predictedLate && reason == allFull {
-		tt.offset(key).Ease()
+		tt.offset(key).Decay()
 	}
 	if reason != admitted {
 		tt.lastRejection = now
@@ -75,12 +75,12 @@
 	s := &send{target: candidate.target, vm: candidate.target.vm, cancel: cancel, sentAt: now, lastActivity: now, lastAttempt: lastAttempt, fingerprint: c.fingerprint(), quarantineVerdict: c.quarantineVerdict,
 		call: c, tried: tried, headroom: headroom}
 	s.objective, s.pauseObjective = objectives(c)
-	if candidate.target.engine.Known() {
-		s.promptTokens, s.modelKey = request.Prompt, key
+	if candidate.target.engine.CanPredict() {
+		s.promptTokens, s.modelKey = request.PromptTokens, key
 		s.predictedFirst = candidate.predictedFirst - tt.offset(key).Value()
 	}
 	tt.addSend(now, s)
-	tt.conditions.Sent(now, incarnationOf(s.vm))
+	tt.conditions.RecordSent(now, incarnationOf(s.vm))
 	if tried != nil {
 		tried[s.key()] = true
 	}
@@ -122,7 +122,7 @@
 // selectTarget divides requests among heads whose engine figures are known. Among all other targets it
 // selects the one with the lowest score that accepts the request; with many nodes it compares only a few.
 func (tt *targetTable) selectTarget(now time.Time, candidates []*target, hr headRequest, headroom float64) selection {
-	if candidates[0].engine.Known() && (hr.resent || hr.request.Objective > 0) && !tt.loadsAreFresh(now, hr.key, len(candidates)) {
+	if candidates[0].engine.CanPredict() && (hr.resent || hr.request.Objective > 0) && !tt.loadsAreFresh(now, hr.key, len(candidates)) {
 		if out, ok := tt.divide(now, candidates, hr); ok {
 			return out
 		}
@@ -131,7 +131,7 @@
 	out := selection{best: -1}
 	healthySeen := 0
 	for _, i := range tt.evaluationOrder(candidates) {
-		candidate := tt.scoreTarget(now, candidates[i], hr.request.Prompt, hr.offset)
+		candidate := tt.scoreTarget(now, candidates[i], hr.request.PromptTokens, hr.offset)
 		candidate.score += tt.quarantinePenalty(candidate.target, hr.quarantineVerdict)
 		out.scored = append(out.scored, candidate)
 		if !tt.accepts(now, candidate, hr.request, headroom, hr.offset, &out) {
@@ -203,10 +203,10 @@
 // predicted first event in passes of a full batch, plus the penalties of adjustScore.
 func (tt *targetTable) scoreTarget(now time.Time, t *target, prompt float64, offset time.Duration) scoredTarget {
 	candidate := scoredTarget{target: t, name: t.name(), score: float64(tt.load(t)+1) / float64(t.slots)}
-	if t.engine.Known() {
-		first := t.engine.First(tt.work(now, t), prompt)
+	if t.engine.CanPredict() {
+		first := t.engine.TimeToFirstEvent(tt.work(now, t), prompt)
 		candidate.predictedFirst = first + offset
-		candidate.score = float64(first) / float64(t.engine.Decode(t.slots))
+		candidate.score = float64(first) / float64(t.engine.DecodeTime(t.slots))
 	}
 	candidate.score = tt.adjustScore(now, t, candidate.score)
 	return candidate
@@ -219,7 +219,7 @@
 	}
 	switch {
 	case t.vm.FailureDomain == tt.domain:
-	case t.engine.Known():
+	case t.engine.CanPredict():
 		score += remoteDomainPasses
 	default:
 		score += remoteDomainPenalty
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -22,8 +22,8 @@
 	return backpressure.Sharing{Self: "self", Nodes: []string{"self"}}
 }
 
-func incarnationOf(vm *fleet.VM) backpressure.Life {
-	return backpressure.Life{VM: vm.ID, Born: vm.Born}
+func incarnationOf(vm *fleet.VM) backpressure.Incarnation {
+	return backpressure.Incarnation{VM: vm.ID, Born: vm.Born}
 }
 
 // throttledTargets counts the targets that were skipped because they asked for fewer requests.
@@ -49,7 +49,7 @@
 		if tried[t.key()] || tt.conditions.Leaving(incarnationOf(t.vm)) {
 			continue
 		}
-		if hold := tt.throttle(now, t, reserved); hold.Back {
+		if hold := tt.throttle(now, t, reserved); hold.Throttled {
 			throttled.add(hold.Wait)
 			continue
 		}
@@ -60,9 +60,9 @@
 
 // throttle reports whether one more request would exceed what the target's VM has asked for. The caller
 // holds mu.
-func (tt *targetTable) throttle(now time.Time, t *target, reserved float64) backpressure.Hold {
+func (tt *targetTable) throttle(now time.Time, t *target, reserved float64) backpressure.Throttle {
 	if tt.conditions.Empty() {
-		return backpressure.Hold{}
+		return backpressure.Throttle{}
 	}
 	return tt.conditions.Check(now, incarnationOf(t.vm), reserved, func() backpressure.Sharing { return tt.sharing(t.vm.FailureDomain) })
 }
@@ -71,7 +71,7 @@
 // limit. It assumes that every node has as much left as this one, since requests are divided as if all
 // nodes behaved alike. The caller holds mu.
 func (tt *targetTable) limitHeadroom(t *target, horizon time.Duration) (float64, bool) {
-	local, limited := tt.conditions.Room(incarnationOf(t.vm), horizon)
+	local, limited := tt.conditions.Headroom(incarnationOf(t.vm), horizon)
 	if !limited {
 		return 0, false
 	}
@@ -80,27 +80,27 @@
 
 // sweepConditions removes the conditions of previous incarnations of VMs. The caller holds mu.
 func (tt *targetTable) sweepConditions(s *fleet.Snapshot) {
-	tt.conditions.Sweep(clock.Now(), func(id string) (backpressure.Life, bool) {
+	tt.conditions.Sweep(clock.Now(), func(id string) (backpressure.Incarnation, bool) {
 		vm := s.VMs[id]
 		if vm == nil {
-			return backpressure.Life{}, false
+			return backpressure.Incarnation{}, false
 		}
 		return incarnationOf(vm), true
 	})
 }
 
 // recordCondition records the condition in a response to a send, and returns what it changes.
-func (tt *targetTable) recordCondition(now, sent time.Time, s *send, n backpressure.Notice) backpressure.Change {
+func (tt *targetTable) recordCondition(now, sent time.Time, s *send, n backpressure.Signals) backpressure.Change {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	return tt.conditions.Heard(now, sent, incarnationOf(s.vm), n)
+	return tt.conditions.Observe(now, sent, incarnationOf(s.vm), n)
 }
 
 // mergeCondition merges a condition received from another node.
 func (tt *targetTable) mergeCondition(now time.Time, r backpressure.Record, listed bool) (change backpressure.Change, leaving bool) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	return tt.conditions.Told(now, r, listed)
+	return tt.conditions.Merge(now, r, listed)
 }
 
 // fillConditions adds the conditions of VMs to the state sent to other nodes. The caller holds mu.
@@ -119,10 +119,10 @@
 	if notice.Limited {
 		j.s.metrics.Count("upstreams.limits.heard", 1)
 	}
-	if notice.Rest > 0 {
+	if notice.Backoff > 0 {
 		j.s.metrics.Count("upstreams.rests.heard", 1)
 		j.s.log.Emit(event.UpstreamResting).Str("vm", s.vm.ID).Int64("born", s.vm.Born).Str("group", s.target.group).
-			Str("request", j.c.ID).Int64("rest_ms", notice.Rest.Milliseconds()).Send()
+			Str("request", j.c.ID).Int64("rest_ms", notice.Backoff.Milliseconds()).Send()
 	}
 	if notice.Leaving {
 		j.s.metrics.Count("upstreams.leaving.heard", 1)
@@ -130,7 +130,7 @@
 	}
 	change := j.s.targets.recordCondition(clock.Now(), sent, s, notice)
 	j.s.logLimitChange(change, incarnationOf(s.vm), notice.Limit, 0, j.c.ID)
-	if change == backpressure.LimitNamed || change == backpressure.LimitEnded {
+	if change == backpressure.LimitSet || change == backpressure.LimitCleared {
 		j.s.parts.TriggerExchange()
 	}
 }
@@ -140,22 +140,22 @@
 	now := clock.Now()
 	for _, one := range state.GetConditions() {
 		r := backpressure.Decode(one, receivedAt)
-		change, leaving := s.targets.mergeCondition(now, r, s.isListed(r.Life))
-		s.logLimitChange(change, r.Life, r.Limit, now.Sub(r.At), "")
+		change, leaving := s.targets.mergeCondition(now, r, s.isListed(r.Incarnation))
+		s.logLimitChange(change, r.Incarnation, r.Limit, now.Sub(r.At), "")
 		if leaving {
-			s.takeOutOfService(r.Life, "")
+			s.takeOutOfService(r.Incarnation, "")
 		}
 	}
 }
 
 // isListed reports whether the platform lists the given incarnation of a VM.
-func (s *Server) isListed(incarnation backpressure.Life) bool {
+func (s *Server) isListed(incarnation backpressure.Incarnation) bool {
 	snapshot := s.parts.Directory.Snapshot()
 	if snapshot == nil {
 		return false
 	}
 	vm := snapshot.VMs[incarnation.VM]
-	return vm != nil && vm.SameLife(&fleet.VM{Born: incarnation.Born})
+	return vm != nil && vm.SameIncarnation(&fleet.VM{Born: incarnation.Born})
 }
 
 // Condition describes, for operators, the condition that a VM has reported; empty if it reported nothing
@@ -168,7 +168,7 @@
 	if s.targets.conditions.Leaving(incarnation) {
 		parts = append(parts, "leaves")
 	}
-	if rest := s.targets.conditions.Resting(now, incarnation); rest > 0 {
+	if rest := s.targets.conditions.Backoff(now, incarnation); rest > 0 {
 		parts = append(parts, fmt.Sprintf("backs off for another %v", rest.Round(time.Millisecond)))
 	}
 	if limit, limited := s.targets.conditions.Limit(incarnation); limited {
@@ -180,7 +180,7 @@
 // ObserveVM processes the condition that a VM reports in a response to a probe or order of this node. A limit
 // or backoff is not lifted by such a response: it may come from a part of the VM that does not serve
 // requests.
-func (s *Server) ObserveVM(vm *fleet.VM, n backpressure.Notice, err error) {
+func (s *Server) ObserveVM(vm *fleet.VM, n backpressure.Signals, err error) {
 	if err != nil {
 		s.reportUnreadable(incarnationOf(vm), "", err)
 	}
@@ -190,10 +190,10 @@
 }
 
 // reportUnreadable logs a condition that can't be read, once per incarnation of a VM.
-func (s *Server) reportUnreadable(incarnation backpressure.Life, request string, err error) {
+func (s *Server) reportUnreadable(incarnation backpressure.Incarnation, request string, err error) {
 	s.metrics.Count("upstreams.conditions.unreadable", 1)
 	s.targets.mu.Lock()
-	first := s.targets.conditions.Unreadable(incarnation)
+	first := s.targets.conditions.MarkUnreadable(incarnation)
 	s.targets.mu.Unlock()
 	if first {
 		s.log.Emit(event.ConditionUnreadable).Str("vm", incarnation.VM).Int64("born", incarnation.Born).Str("request", request).Err(err).Send()
@@ -202,9 +202,9 @@
 
 // recordLeaving records that a VM has announced to terminate soon. request is the ID of the request whose
 // response said so, if any.
-func (s *Server) recordLeaving(incarnation backpressure.Life, request string) {
+func (s *Server) recordLeaving(incarnation backpressure.Incarnation, request string) {
 	s.targets.mu.Lock()
-	first := s.targets.conditions.Leaves(clock.Now(), incarnation)
+	first := s.targets.conditions.MarkLeaving(clock.Now(), incarnation)
 	s.targets.mu.Unlock()
 	if first {
 		s.takeOutOfService(incarnation, request)
@@ -212,20 +212,20 @@
 }
 
 // takeOutOfService stops sending requests to a VM that will terminate soon, and informs the other nodes.
-func (s *Server) takeOutOfService(incarnation backpressure.Life, request string) {
-	s.parts.Directory.Leaving(incarnation.VM, incarnation.Born)
+func (s *Server) takeOutOfService(incarnation backpressure.Incarnation, request string) {
+	s.parts.Directory.MarkLeaving(incarnation.VM, incarnation.Born)
 	s.log.Emit(event.UpstreamLeaving).Str("vm", incarnation.VM).Int64("born", incarnation.Born).Str("request", request).Bool("told", request == "").Send()
 	s.parts.TriggerExchange()
 }
 
 // logLimitChange logs a change of a VM's limit. age is the time since the limit was reported; request is
 // empty if another node reported it.
-func (s *Server) logLimitChange(change backpressure.Change, incarnation backpressure.Life, limit float64, age time.Duration, request string) {
+func (s *Server) logLimitChange(change backpressure.Change, incarnation backpressure.Incarnation, limit float64, age time.Duration, request string) {
 	kind := event.UpstreamLimited
 	switch change {
 	case backpressure.Unchanged:
 		return
-	case backpressure.LimitEnded:
+	case backpressure.LimitCleared:
 		kind = event.UpstreamUnlimited
 	}
 	s.log.Emit(kind).Str("vm", incarnation.VM).Int64("born", incarnation.Born).Float64("limit", limit).Int64("age_ms", age.Milliseconds()).
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -24,7 +24,7 @@
 	// arrivals is the rate of requests that this node receives.
 	arrivals spread.Rate
 	// serviceTime is the time that requests spend at a head.
-	serviceTime spread.Life
+	serviceTime spread.ServiceTime
 	// rejectedShare is the fraction of requests that is rejected, as of the latest decision.
 	rejectedShare float64
 }
@@ -33,7 +33,7 @@
 func (tt *targetTable) recordRequest(now time.Time, c *Call) (first bool) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	tt.budget(c.Service).Request(now)
+	tt.budget(c.Service).RecordRequest(now)
 	if !tt.servesModel(c) {
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // takeRepeat takes a credit for one more send of a request, if the budget allows it.
-func (tt *targetTable) takeRepeat(now time.Time, service string, nodes int) retry.Use {
+func (tt *targetTable) takeRepeat(now time.Time, service string, nodes int) retry.Decision {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
 	return tt.budget(service).Take(now, nodes)
--- a/internal/gateway/divide.go
+++ b/internal/gateway/divide.go
@@ -86,7 +86,7 @@
 	var heads []spread.Head
 	var shares []headShare
 	for _, t := range candidates {
-		candidate := tt.scoreTarget(now, t, hr.request.Prompt, hr.offset)
+		candidate := tt.scoreTarget(now, t, hr.request.PromptTokens, hr.offset)
 		penalty := tt.quarantinePenalty(t, hr.quarantineVerdict)
 		candidate.score += penalty
 		out.scored = append(out.scored, candidate)
@@ -101,7 +101,7 @@
 		heads = append(heads, tt.headLoad(now, t, hr, out.forecast.horizon, penalty))
 		shares = append(shares, headShare{index: len(out.scored) - 1})
 	}
-	out.forecast.headroom = spread.Room(heads)
+	out.forecast.headroom = spread.Headroom(heads)
 	for i, fraction := range spread.Shares(heads, out.forecast.expected) {
 		shares[i].fraction = fraction
 	}
@@ -132,16 +132,16 @@
 
 // isRetry reports whether the caller has probably been rejected before.
 func (hr headRequest) isRetry() bool {
-	return !hr.resent && hr.request.Spent > minRetryWait
+	return !hr.resent && hr.request.Elapsed > minRetryWait
 }
 
 // headLoad returns the load of a target, with its penalties expressed as additional load.
 func (tt *targetTable) headLoad(now time.Time, t *target, hr headRequest, horizon time.Duration, penalty float64) spread.Head {
 	slots := float64(t.slots)
 	load := float64(tt.load(t))
-	h := spread.Head{Load: load + penalty*slots, Most: (1 - hr.request.Kept) * slots, Ends: tt.expectedCompletions(now, t, hr.key, horizon)}
+	h := spread.Head{Load: load + penalty*slots, MaxLoad: (1 - hr.request.Reserved) * slots, Completions: tt.expectedCompletions(now, t, hr.key, horizon)}
 	if hr.resent {
-		h.Most = unlimitedLoad
+		h.MaxLoad = unlimitedLoad
 	}
 	if t.vm.FailureDomain != tt.domain {
 		h.Load += remoteDomainShare * slots
@@ -150,7 +150,7 @@
 		h.Load += partitionedShare * slots
 	}
 	if headroom, limited := tt.limitHeadroom(t, horizon); limited {
-		h.Most = min(h.Most, h.Load-h.Ends+headroom)
+		h.MaxLoad = min(h.MaxLoad, h.Load-h.Completions+headroom)
 	}
 	return h
 }
@@ -160,14 +160,14 @@
 // reduces the result if passes take longer than published.
 func (tt *targetTable) expectedCompletions(now time.Time, t *target, key demandKey, horizon time.Duration) float64 {
 	load := tt.load(t)
-	completions := t.engine.Ended(load, horizon)
+	completions := t.engine.ExpectedCompletions(load, horizon)
 	if m := tt.demand[key]; m != nil {
-		if measured, known := m.serviceTime.Ends(float64(load), horizon); known {
+		if measured, known := m.serviceTime.PredictCompletions(float64(load), horizon); known {
 			completions = measured
 		}
 	}
-	if pass := tt.work(now, t).Pass; pass > 0 {
-		completions *= min(float64(t.engine.Decode(load))/float64(pass), 1)
+	if pass := tt.work(now, t).PassTime; pass > 0 {
+		completions *= min(float64(t.engine.DecodeTime(load))/float64(pass), 1)
 	}
 	return completions
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -17,7 +17,7 @@
 	if s == nil {
 		t.Fatal("no request at the head")
 	}
-	if change := tt.recordCondition(now, now, s, backpressure.Notice{Limited: true}); change != backpressure.LimitNamed {
+	if change := tt.recordCondition(now, now, s, backpressure.Signals{Limited: true}); change != backpressure.LimitSet {
 		t.Fatalf("the notice changed %d", change)
 	}
 }
@@ -63,7 +63,7 @@
 	}
 	over := now.Add(2 * time.Second)
 	reporter.mu.Lock()
-	reporter.conditions.Heard(over, over, backpressure.Life{VM: "a"}, backpressure.Notice{})
+	reporter.conditions.Observe(over, over, backpressure.Incarnation{VM: "a"}, backpressure.Signals{})
 	reporter.mu.Unlock()
 	exchange(over.Add(time.Second))
 	if sendTo(receiver, over.Add(time.Second), c, "a") == nil {
@@ -77,7 +77,7 @@
 	now := time.Now()
 	tt, c := newTestTable(t, now, noneDissolving)
 	s := sendTo(tt, now, c, "a")
-	tt.recordCondition(now, now, s, backpressure.Notice{Limited: true, Limit: 0.5})
+	tt.recordCondition(now, now, s, backpressure.Signals{Limited: true, Limit: 0.5})
 	stuck := sendTo(tt, now, c, "b")
 	stuck.tried = map[string]bool{stuck.key(): true}
 	tt.throttle(now, s.target, 0)
@@ -87,7 +87,7 @@
 			t.Fatal("a slot was reserved without credit")
 		}
 	}
-	if hold := tt.throttle(later, s.target, 0); hold.Back {
+	if hold := tt.throttle(later, s.target, 0); hold.Throttled {
 		t.Error("attempts to reserve a slot used up the limit")
 	}
 }
@@ -118,7 +118,7 @@
 func TestReportedLeavingUpstreamGetsNoRequests(t *testing.T) {
 	now := time.Now()
 	reporter, c := newTestTable(t, now, noneDissolving)
-	reporter.conditions.Leaves(now, backpressure.Life{VM: "a"})
+	reporter.conditions.MarkLeaving(now, backpressure.Incarnation{VM: "a"})
 	state := &marbleroadv1.NodeState{}
 	reporter.fillConditions(now, state)
 	receiver, _ := newTestTable(t, now, noneDissolving)
@@ -130,7 +130,7 @@
 	if sendTo(receiver, now, c, "a") != nil {
 		t.Error("a request went to a leaving upstream")
 	}
-	if !receiver.conditions.Leaving(backpressure.Life{VM: "a", Born: 9}) {
+	if !receiver.conditions.Leaving(backpressure.Incarnation{VM: "a", Born: 9}) {
 		t.Error("an incarnation without a start time does not match the leaving one")
 	}
 }
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -16,7 +16,7 @@
 type reservation struct {
 	send       *send
 	evaluation evaluation
-	repeatUse  retry.Use
+	repeatUse  retry.Decision
 }
 
 // reserve reserves a slot at another target for the send's call. It returns false if there is none or no
@@ -38,7 +38,7 @@
 	repeatUse := tt.budget(s.call.Service).Take(now, nodes)
 	if !repeatUse.Allowed {
 		tt.removeSend(next)
-		tt.conditions.Unsent(incarnationOf(next.vm))
+		tt.conditions.UndoSent(incarnationOf(next.vm))
 		delete(s.tried, next.key())
 		return false
 	}
--- a/internal/gateway/predict.go
+++ b/internal/gateway/predict.go
@@ -13,10 +13,10 @@
 
 // work returns the known load of a head: the requests of all nodes, the unread prompts of this node, and
 // the observed pass time, which reflects the prompts of other nodes.
-func (tt *targetTable) work(now time.Time, t *target) batch.Work {
-	w := batch.Work{InFlight: tt.load(t), Unread: t.unreadTokens}
+func (tt *targetTable) work(now time.Time, t *target) batch.Load {
+	w := batch.Load{InFlight: tt.load(t), UnreadTokens: t.unreadTokens}
 	if t.passSeen(now) {
-		w.Pass = t.meanPause
+		w.PassTime = t.meanPause
 	}
 	return w
 }
@@ -29,13 +29,13 @@
 // request returns the properties of a call that matter for choosing a target. A call that was sent before
 // has no objective: it is not dropped for lack of capacity.
 func (tt *targetTable) request(now time.Time, c *Call, resent bool) batch.Request {
-	r := batch.Request{Prompt: tt.promptOf(c)}
+	r := batch.Request{PromptTokens: tt.promptOf(c)}
 	if c.Route == nil || resent || c.LastEvent != "" {
 		return r
 	}
 	r.Objective = c.Route.Objective
-	r.Spent = now.Sub(c.Arrived) + c.Waited
-	r.Kept = reserve(tt.pools[c.Service].service, c)
+	r.Elapsed = now.Sub(c.Arrived) + c.Waited
+	r.Reserved = reserve(tt.pools[c.Service].service, c)
 	return r
 }
 
@@ -47,7 +47,7 @@
 		return defaultHeadroom
 	}
 	responseTime := max(t.responseTime.Seconds(), minResponseSeconds)
-	return float64(t.slots) * waitShare * (1 - request.Kept) * request.Objective.Seconds() / responseTime
+	return float64(t.slots) * waitShare * (1 - request.Reserved) * request.Objective.Seconds() / responseTime
 }
 
 // reserve returns the fraction of an upstream's slots, and of the objective, that is reserved for requests
--- a/internal/gateway/room_test.go
+++ b/internal/gateway/room_test.go
@@ -84,7 +84,7 @@
 	if got := (&target{vm: vm, slots: 6}).headroomFor(request, 12); got != 12 {
 		t.Errorf("headroom %.1f while nothing is known", got)
 	}
-	request.Kept = 0.5
+	request.Reserved = 0.5
 	if a := quick.headroomFor(request, 0); a < 7.1 || a > 7.3 {
 		t.Errorf("headroom %.2f for a less urgent request, expected half of 14.4", a)
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -154,7 +154,7 @@
 		s.targets.sharing = s.sharing
 	}
 	p.Quarantine.OnQuarantine(s.quarantined)
-	p.Quarantine.OnProved(p.TriggerExchange)
+	p.Quarantine.OnConfirmed(p.TriggerExchange)
 	return s
 }
 
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -256,13 +256,13 @@
 	case t.startedStreams == 0:
 		return t.firstStallAfter()
 	}
-	minSilence := max(minStall, time.Duration(passMargin*float64(t.engine.LongestPass())), min(stallPauses*t.meanPause, maxStall))
+	minSilence := max(minStall, time.Duration(passMargin*float64(t.engine.MaxPassTime())), min(stallPauses*t.meanPause, maxStall))
 	return min(max(t.meanPause+stallDeviations*t.pauseDeviation, minSilence), max(maxStall, minSilence))
 }
 
 // reportedStallAfter returns the silence that counts as a stall once another node has reported the head.
 func (t *target) reportedStallAfter() time.Duration {
-	return max(reportedStall, t.engine.LongestPass())
+	return max(reportedStall, t.engine.MaxPassTime())
 }
 
 // firstStallAfter returns the silence that counts as a stall while none of the head's streams has started.
--- a/internal/gateway/stalls_test.go
+++ b/internal/gateway/stalls_test.go
@@ -10,8 +10,8 @@
 )
 
 // busyEngine's longest pass takes 447 ms: 91 ms for a full batch of 22 and 356 ms of reading.
-var busyEngine = batch.Engine{Slots: 22, Stride: 8, StepTime: 6070 * time.Microsecond, PerSequence: 241 * time.Microsecond,
-	ReadPerSecond: 46000, Chunk: 2048, Pace: 1}
+var busyEngine = batch.Engine{Slots: 22, StepsPerPass: 8, StepTime: 6070 * time.Microsecond, PerSequence: 241 * time.Microsecond,
+	ReadPerSecond: 46000, MaxReadPerStep: 2048, Pace: 1}
 
 // TestOneStreamAtABusyHead: each of 295 nodes had a stream at only one or two heads, and had learned no
 // typical pause. A pass that reads prompts takes up to 447 ms there, but 350 ms of silence counted as a
@@ -37,7 +37,7 @@
 
 	tt, s := newStream(0)
 	tt.recordEvent(start, s)
-	if silent(tt, busyEngine.LongestPass()) {
+	if silent(tt, busyEngine.MaxPassTime()) {
 		t.Error("a pass that reads a prompt counts as a stall")
 	}
 	if !silent(tt, 600*time.Millisecond) {
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -45,7 +45,7 @@
 // trackQuarantine updates the counts of requests with terminations when a send starts (1) or finishes
 // (-1).
 func (t *target) trackQuarantine(s *send, delta int) {
-	if s.quarantineVerdict.Ends > 0 {
+	if s.quarantineVerdict.Terminations > 0 {
 		t.withTermination += delta
 	}
 	if s.quarantineVerdict.Suspected() {
@@ -59,12 +59,12 @@
 func (tt *targetTable) quarantinePenalty(t *target, quarantineVerdict quarantine.Verdict) float64 {
 	suspects := t.suspects + tt.peerSuspects[t.group]
 	penalty := 0.0
-	if quarantineVerdict.Ends > 0 {
+	if quarantineVerdict.Terminations > 0 {
 		penalty += spreadPenalty * float64(t.withTermination)
 	}
 	switch {
 	case suspects == 0:
-	case quarantineVerdict.Ends > 0:
+	case quarantineVerdict.Terminations > 0:
 		penalty += separationPenalty
 	default:
 		penalty += besideSuspectPenalty
@@ -135,10 +135,10 @@
 // verdict.
 func (j *job) checkQuarantine() *verdict.Error {
 	j.c.quarantineVerdict = quarantine.Verdict{}
-	if !j.s.quarantine.Known() {
+	if !j.s.quarantine.HasRecords() {
 		return nil
 	}
-	j.c.quarantineVerdict = j.s.quarantine.Judge(clock.Now(), j.c.fingerprint())
+	j.c.quarantineVerdict = j.s.quarantine.Verdict(clock.Now(), j.c.fingerprint())
 	switch {
 	case j.c.quarantineVerdict.Quarantined > 0:
 		j.s.metrics.Count("quarantine.refused", 1)
@@ -154,9 +154,9 @@
 
 // recordCompletion records that an upstream ran the call to completion.
 func (j *job) recordCompletion() {
-	if j.s.quarantine.Known() || j.s.pending.any() {
+	if j.s.quarantine.HasRecords() || j.s.pending.any() {
 		j.s.pending.drop(j.c.fingerprint())
-		j.s.quarantine.Served(clock.Now(), j.c.fingerprint())
+		j.s.quarantine.RecordSuccess(clock.Now(), j.c.fingerprint())
 	}
 }
 
@@ -223,11 +223,11 @@
 // recordTermination attributes the termination of a VM to the request that it ran.
 func (s *Server) recordTermination(sent *send) {
 	onlySuspect := s.targets.onlySuspect(sent)
-	v := s.quarantine.Ended(clock.Now(), sent.fingerprint, quarantine.LifeOf(sent.vm.ID, sent.vm.Born), onlySuspect)
+	v := s.quarantine.RecordTermination(clock.Now(), sent.fingerprint, quarantine.IncarnationOf(sent.vm.ID, sent.vm.Born), onlySuspect)
 	s.metrics.Count("upstreams.ended", 1)
 	s.log.Emit(event.UpstreamEnded).Stringer("fingerprint", sent.fingerprint).Str("vm", sent.vm.ID).Int64("born", sent.vm.Born).
 		Str("group", sent.target.group).Uint64("generation", sent.target.generation).Bool("begun", sent.started).Bool("alone", onlySuspect).
-		Int("ends", v.Ends).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
+		Int("ends", v.Terminations).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
 }
 
 // confirmTerminations checks which of the silent VMs have terminated.
@@ -244,5 +244,5 @@
 // terminationListed reports whether the platform's list shows that an incarnation of a VM has terminated.
 func terminationListed(snapshot *fleet.Snapshot, vm *fleet.VM) bool {
 	listed := snapshot.VMs[vm.ID]
-	return listed == nil || !listed.SameLife(vm)
+	return listed == nil || !listed.SameIncarnation(vm)
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -40,25 +40,25 @@
 }
 
 mutant "a VM not seen within the window counts as present" internal/groups/eligible.go \
-  's/case !ok \|\| !seen\.Fresh\(now, window\):/case !ok:/' ./internal/groups TestEligibleAgainstOracle
+  's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/' ./internal/groups TestEligibleAgainstOracle
 mutant "the same, with real processes, and the entry trusts it for ever" internal/groups/eligible.go \
-  's/case !ok \|\| !seen\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.Until\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
+  's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.Until\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
 mutant "a VM's word about its group is not asked for" internal/groups/eligible.go \
-  's/case seen\.Group != g\.ID[^:]*:/case false:/' ./internal/groups TestEligibleAgainstOracle
+  's/case probe\.Group != g\.ID[^:]*:/case false:/' ./internal/groups TestEligibleAgainstOracle
 mutant "a VM still in a group is taken as a spare" internal/groups/decide.go \
-  's/ \|\| vm\.Group != ""//' ./internal/groups TestPlanStaysSound
+  's/ \|\| vm\.Group != ""//' ./internal/groups TestPlanKeepsInvariants
 mutant "a changed group keeps its generation" internal/groups/decide.go \
-  's/g\.Generation = d\.next\.Version/_ = g/' ./internal/groups TestPlanStaysSound
+  's/g\.Generation = d\.next\.Version/_ = g/' ./internal/groups TestPlanKeepsInvariants
 mutant "a lost VM is replaced without a grace time" internal/groups/decide.go \
-  's/return len\(inc\.lost\) == 0 \|\| inc\.shortest >= d\.in\.Estimates\.Grace/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
+  's/return len\(inc\.lost\) == 0 \|\| inc\.shortestMissing >= d\.in\.Estimates\.GracePeriod/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
 mutant "an older version is adopted" internal/item/item.go \
   's/if ok && old\.item\.Version >= it\.Version \{/if false {/' ./internal/item TestNeverReverts
 mutant "a deleted row stays in force" internal/view/view.go \
-  's/known\.row != nil && !known\.row\.Deleted/known.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
+  's/cached\.row != nil && !cached\.row\.Deleted/cached.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
 mutant "an edit on an old version is accepted" internal/control/apply.go \
   's/if e\.message\.GetForce\(\) \|\| base == version/if true || base == version/' ./test/integration TestLostRaceShowsBothValues
 mutant "a lost answer of a write counts as a failure" internal/control/apply.go \
-  's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.resolveEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
+  's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.confirmEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
 mutant "a fresh node is ready with a peer's table though the platform answers" internal/control/exchange.go \
   's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeThatMeetsOnlyAStalePeer
 mutant "a non-idempotent request goes out on a reused connection" internal/relay/sender.go \
@@ -82,9 +82,9 @@
 mutant "a caller's request ID names the attempt" internal/entry/dispatch.go \
   's/attempt := newRequestID\(\)/attempt := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
 mutant "a leaving VM gets work" internal/view/view.go \
-  's/ && !seen\.Leaving && !s\.Leaving\[seen\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
+  's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not held while the platform is down" internal/control/drain.go \
-  's/\tk\.holdDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
+  's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
 mutant "a stop does not wait for answers in flight" internal/entry/server.go \
   's/case <-done:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
 mutant "a stop does not wait for outcomes to be stored" internal/entry/server.go \
@@ -98,9 +98,9 @@
 mutant "requests at a former life are waited for" internal/gateway/board.go \
   's/s\.cancel\(errRestarted\)/_ = s/' ./internal/gateway TestRequestsAtRestartedVMAreCanceled
 mutant "an older entry counts" internal/fleet/directory.go \
-  's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderWordChangesNothing
+  's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderEntryChangesNothing
 mutant "a faulty entry is passed over" internal/fleet/directory.go \
-  's/return d\.drop\(id\)\n\}\n\n\/\/ older/return false\n}\n\n\/\/ older/' ./internal/fleet TestFaultyEntryNamesNoVM
+  's/return d\.drop\(id\)\n\}\n\n\/\/ isOlder/return false\n}\n\n\/\/ isOlder/' ./internal/fleet TestInvalidEntryDropsVM
 mutant "an unknown state is in service" platform/entry.go \
   's/\(\*e\.State != stateReady && \*e\.State != stateDraining\)/false/' ./platform TestEntriesOfOtherWriters
 mutant "a place in a group has no bound" platform/entry.go \
@@ -108,9 +108,9 @@
 mutant "an unreadable object fails its page" platform/store.go \
   's/out\.fault = errors\.Wrap\(err, "decode object"\)/panic(err)/' ./platform TestUnreadableObjectHidesNoOther
 mutant "a member is summed up for the one who asks" internal/cluster/sum.go \
-  's/m\.state\.GetNode\(\) != except/true/' ./internal/cluster TestWordOfOneNodeReachesAll
+  's/m\.state\.GetNode\(\) != exclude/true/' ./internal/cluster TestStateOfOneNodeReachesAll
 mutant "a lost hub is not replaced" internal/cluster/topology.go \
-  's/return t\.shunned\[r\.ID\]/return false/' ./internal/cluster TestLostHubsAreReplaced
+  's/return t\.excluded\[r\.ID\]/return false/' ./internal/cluster TestLostHubsAreReplaced
 mutant "a hub does not name those who manage groups" internal/cluster/sum.go \
   's/ && len\(m\.state\.GetDirecting\(\)\) == 0//' ./internal/cluster TestClaimsAndFirstNodesAreKnown
 mutant "directors decide by the same counts" internal/director/place.go \
@@ -120,13 +120,13 @@
 mutant "a first event is not waited for by its prediction" internal/gateway/stalls.go \
   's/firstFactor\*longest/0*longest/' ./internal/gateway TestOneStreamAtABusyHead
 mutant "a leader's watch waits for long" internal/feed/feed.go \
-  's/return min\(most, leaderWait\)/return most/' ./internal/feed TestLeadersProofStaysYoung
+  's/return min\(maxWait, leaderWait\)/return maxWait/' ./internal/feed TestLeaderVerificationStaysRecent
 mutant "a first configuration is asked for again and again" internal/catalog/keeper.go \
   's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWaitedFor
 mutant "followers press a store that is away" internal/feed/feed.go \
-  's/if now\.Before\(o\.quietUntil\) && /if false \&\& /' ./internal/feed TestFollowersLeaveADeadStoreToTheirLeaders
+  's/if now\.Before\(p\.backoffUntil\) && /if false \&\& /' ./internal/feed TestFollowersBackOffFromUnreachableStore
 mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
-  's/\t\t\tp\.State, p\.HeardAt = state, now\n//; s/nodes: c\.told, //' ./internal/cluster TestNodesThatCountDifferently
+  's/\t\t\tp\.State, p\.LastSeen = state, now\n//; s/maxKnownNodes: c\.maxKnownNodes, //' ./internal/cluster TestNodesThatCountDifferently
 mutant "a group whose head has not reported yet is broken up" internal/director/dissolve.go \
   's/case gs\.headVM == nil && now\.Sub\(gs\.firstSeen\) <= orphanTimeout:.*?\t\treturn\n//s' ./internal/director TestGroupWhoseHeadHasNotReported
 mutant "a group that is whole again counts as short" internal/director/watch.go \
@@ -136,7 +136,7 @@
 mutant "a head is opened though a member has left" internal/director/groups.go \
   's/case !gs\.incompleteSince\.IsZero\(\):\n\t\ts\.startDissolving.*?\n//' ./internal/director TestHeadOpenedAfterAMemberLeft
 mutant "a share rises at once" internal/quota/damper.go \
-  's/least = min\(least, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
+  's/minShare = min\(minShare, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
 mutant "the urgent wait behind the rest" internal/admission/queue.go \
   's/for p := priorities - 1; p >= 0; p--/for p := 0; p < priorities; p++/' ./test/policy/bench TestFlood
 mutant "operators need no token" internal/control/operator.go \
@@ -196,7 +196,7 @@
 mutant "the target is cleaned" internal/relay/sender.go \
   's/err == nil && u\.RequestURI\(\) == path && u\.Host == address/err == nil/' ./internal/gateway TestTargetAndHeaders
 mutant "VMs of an outage are gone at once" internal/fleet/outage.go \
-  's/return now\.Before\(o\.keepUntil\)/return false/' ./internal/fleet TestMissingAfterOutage
+  's/return now\.Before\(o\.retainUntil\)/return false/' ./internal/fleet TestMissingAfterOutage
 mutant "a VM joins though it is in another group" internal/director/groups.go \
   's/m\.Group != f\.name && !s\.released\(m\.Group\)/false/' ./internal/director TestMemberInAnotherGroup
 mutant "members of a silent head are free after the stall bound" internal/director/dissolve.go \
@@ -214,9 +214,9 @@
 mutant "a lost answer is waited for" internal/gateway/stalls.go \
   's/now\.Sub\(s\.lastActivity\) > tt\.lostAfter\(s\)/false/' ./internal/gateway TestLostResponseAtActiveHead
 mutant "a silent leader is followed on" internal/feed/feed.go \
-  's/l\.failedUntil\[leader\.ID\] = now\.Add\(failedFor\)//; s/q\.wait\+answerTime/time.Hour/; s/q\.wait\+mostTransfer/time.Hour/' ./internal/feed TestSilentLeader
+  's/l\.failedUntil\[leader\.ID\] = now\.Add\(failureBackoff\)//; s/q\.wait\+responseMargin/time.Hour/; s/q\.wait\+maxTransfer/time.Hour/' ./internal/feed TestUnresponsiveLeader
 mutant "a leader out of touch is followed" internal/feed/feed.go \
-  's/err == nil \&\& age > q\.mostAge/false/' ./internal/feed TestLeaderOutOfTouch
+  's/err == nil \&\& age > q\.maxAge/false/' ./internal/feed TestDisconnectedLeader
 mutant "idle connections stay" internal/callers/conn.go \
   's/state == http\.StateIdle/state == http.StateHijacked/' ./internal/callers TestIdleConnectionIsClosed
 mutant "an unanswered join counts as not sent" internal/director/groups.go \
@@ -226,27 +226,27 @@
 mutant "a leave does not count as accepted" internal/director/answers.go \
   's/m\.started \|\| m\.order\.Operation == engine\.Leave/m.started/' ./internal/director TestLeaveCounts
 mutant "credits for repeats don't end" internal/retry/budget.go \
-  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsEndWithTheirWindow
+  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsExpireAfterOneWindow
 mutant "a request earns its whole ratio at once" internal/retry/budget.go \
-  's/b\.limit\.Ratio \/ spread/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
+  's/b\.limit\.Ratio \/ windowsPerCredit/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
 mutant "a new life has its fixed part at once" internal/retry/budget.go \
-  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestRepeatsOfManyLives
+  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestLimitHoldsAcrossRestarts
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
-  's/if !c\.recordsRead\.Load\(\)/if false/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
+  's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
   's/\tneverReplayed\(req\)\n/\tif o.Once {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestNoRequestIsSentTwiceUnseen
 mutant "a stale connection is a failure" internal/relay/sender.go \
   's/return w\.reused \&\& /return false \&\& /' ./internal/relay TestStaleConnectionIsReplaced
 mutant "missing entries are kept from the first answer on" internal/fleet/outage.go \
-  's/o\.keepUntil = o\.failedAt\.Add/o.keepUntil = time.Now().Add/; s/returnTime \+ probeInterval/2500 * time.Millisecond/' ./internal/fleet 'TestVMThatLeavesAfterAnOutage|TestVMThatLapsedAndStaysAway'
+  's/o\.retainUntil = o\.failedAt\.Add/o.retainUntil = time.Now().Add/; s/recoveryTime \+ probeInterval/2500 * time.Millisecond/' ./internal/fleet 'TestVMThatLeavesAfterAnOutage|TestExpiredEntryThatStaysMissing'
 mutant "the first watch after an outage waits for news" internal/fleet/directory.go \
-  's/if d\.lost \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/fleet 'TestLapsedEntryIsKept|TestVMThatLapsedAndStaysAway'
+  's/if d\.disconnected \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/fleet 'TestExpiredEntryIsRetained|TestExpiredEntryThatStaysMissing'
 mutant "missing VMs are looked at when a watch ends" internal/fleet/directory.go \
-  's/if len\(d\.missing\) == 0 \{\n\t\treturn most/if true {\n\t\treturn most/' ./internal/fleet TestVMThatLapsedAndStaysAway
+  's/if len\(d\.missing\) == 0 \{\n\t\treturn limit/if true {\n\t\treturn limit/' ./internal/fleet TestExpiredEntryThatStaysMissing
 mutant "a watch of the list waits for three seconds" internal/fleet/directory.go \
-  's/const WatchWait = 1500 \* time\.Millisecond/const WatchWait = 3 * time.Second/' ./internal/fleet TestVMThatLeavesDuringAShortCut
+  's/const WatchWait = 1500 \* time\.Millisecond/const WatchWait = 3 * time.Second/' ./internal/fleet TestVMThatLeavesAfterAShortPartition
 mutant "a follower keeps missing entries once more" internal/fleet/directory.go \
-  's/case c\.Removed \&\& relayed:/case false:/' ./internal/fleet TestRelayedRemovalIsTakenAtOnce
+  's/case c\.Removed \&\& relayed:/case false:/' ./internal/fleet TestRelayedRemovalTakesEffectAtOnce
 mutant "silent connections to the store are tried in turn" platform/store.go \
   's/s\.http\.CloseIdleConnections\(\)//g' ./platform TestSilentConnectionsAreLeftTogether
 mutant "a length beside chunks is taken" internal/gateway/framing.go \
@@ -256,16 +256,16 @@
 mutant "silent nodes count until another is heard" internal/gateway/choose.go \
   's/tt\.dropExpiredPeers\(now\)//' ./internal/gateway TestLoadsOfSilentNodesExpire
 mutant "free VMs are never kept" internal/placement/placement.go \
-  's/if !ok \|\| d\.keepFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
+  's/if !ok \|\| d\.reserveFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
 
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestBurstIsServedInTime
 mutant "the offset is not learned" internal/batch/offset.go \
-  's/if took > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
+  's/if elapsed > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
 mutant "late requests are taken like others" internal/batch/admit.go \
-  's/return w\.InFlight < e\.Slots \&\& e\.First/return true || e.First/' ./internal/batch TestAdmit
+  's/return load\.InFlight < e\.Slots \&\& e\.TimeToFirstEvent/return true || e.TimeToFirstEvent/' ./internal/batch TestAdmit
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
-  's/r\.Kept \* float64/0 * float64/' ./internal/batch TestAdmit
+  's/r\.Reserved \* float64/0 * float64/' ./internal/batch TestAdmit
 mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
   's/return m\.typical - timeout/return 0/' ./internal/gateway TestRetriesAreRecognizedByTimeout
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
@@ -279,9 +279,9 @@
 mutant "a slow plain upstream gets as much as others" internal/gateway/predict.go \
   's/if t\.group != "" \|\|/if true ||/' ./internal/gateway TestSlowPlainUpstreamTakesLess
 mutant "a failed leader leaves no other" internal/feed/feed.go \
-  's/mostLeaders = 3/mostLeaders = 1/' ./internal/feed TestNextLeaderIsFollowed
+  's/maxLeaders = 3/maxLeaders = 1/' ./internal/feed TestNextLeaderIsFollowed
 mutant "a follower reads new configurations itself" internal/feed/catalog.go \
-  's/if next\.GetVersion\(\) > known \{/if next.GetVersion() > known {\n\t\treturn c.watch(ctx, revision, 0)\n\t}\n\tif false {/' ./internal/feed TestFollowerTakesNewConfiguration
+  's/if next\.GetVersion\(\) > known \{/if next.GetVersion() > known {\n\t\treturn c.watch(ctx, revision, 0)\n\t}\n\tif false {/' ./internal/feed TestFollowerAdoptsNewConfiguration
 mutant "tries after a failure don't slow down" internal/wait/backoff.go \
   's/b\.failures\+\+//' ./internal/wait TestBackoffGrowsToItsBound
 
@@ -289,35 +289,35 @@
   's/if !tt\.servesModel\(c\)/if false/' ./internal/gateway TestUnknownNamesLeaveNoState
 
 mutant "ends are not counted together" internal/quarantine/record.go \
-  's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestNodesCountTogether
+  's/r\.Terminations = slices\.Insert\(r\.Terminations, at, e\)/r.Terminations = slices.Insert(r.Terminations[:0], at*0, e)/' ./internal/quarantine TestTerminationsOfMergedTablesAddUp
 mutant "two ends are enough" internal/quarantine/record.go \
-  's/endsToQuarantine = 3/endsToQuarantine = 2/' ./internal/quarantine TestVerdicts
+  's/terminationsToQuarantine = 3/terminationsToQuarantine = 2/' ./internal/quarantine TestVerdicts
 mutant "company does not matter" internal/quarantine/table.go \
-  's/if alone \&\& /if /' ./internal/quarantine TestVerdicts
+  's/if onlySuspect \&\& /if /' ./internal/quarantine TestVerdicts
 mutant "an answer clears nothing" internal/quarantine/record.go \
-  's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesAgree'
+  's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesConverge'
 mutant "a request in quarantine is sent" internal/gateway/suspects.go \
   's/case j\.c\.quarantineVerdict\.Quarantined > 0:/case false:/' ./internal/gateway TestCrashingRequestIsQuarantined
 mutant "ends of upstreams are attempts" internal/gateway/suspects.go \
   's/j\.terminated\+\+\n/_ = j.terminated\n/' ./internal/gateway TestRequestSurvivesUpstreamCrashes
 mutant "the table is not bounded" internal/quarantine/table.go \
-  's/t\.bound\(mostProved/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
+  's/t\.bound\(maxConfirmed/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
 mutant "news are not told" internal/quarantine/gossip.go \
   's/for _, r := range records \{\n\t\tout\.Records/for _, r := range records[:0] {\n\t\tout.Records/' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what was missed is not told anew" internal/quarantine/gossip.go \
   's/if differs \&\& /if false \&\& /' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what others told is passed on to all" internal/quarantine/gossip.go \
-  's/p\.asked, mostTold, relay/p.asked, mostTold, relay || true/' ./internal/cluster TestManyCrashesAreToldInBounds
+  's/p\.requestChange, maxMessageRecords, relay/p.requestChange, maxMessageRecords, relay || true/' ./internal/cluster TestManyCrashesSendBoundedRecords
 mutant "the store is not read at the start" internal/quarantine/archive.go \
-  's/if !first \&\& !a\.reads\(\)/if first || !a.reads()/' ./internal/quarantine TestQuarantineOutlivesAllNodes
+  's/if !firstRead \&\& !a\.reads\(\)/if firstRead || !a.reads()/' ./internal/quarantine TestQuarantineSurvivesRestartOfAllNodes
 mutant "what the store holds is not taken" internal/quarantine/archive.go \
-  's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestNodesThatHearOnlyTheStore
+  's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestPartitionedNodesMergeThroughStore
 mutant "the store is asked every second" internal/quarantine/archive.go \
-  's/archiveWait = 10 \* time\.Second/archiveWait = time.Second/' ./internal/quarantine TestArchiveCostsFewCalls
+  's/watchTimeout = 10 \* time\.Second/watchTimeout = time.Second/' ./internal/quarantine TestArchiveMakesFewCalls
 mutant "each answer that is told is news" internal/quarantine/record.go \
-  's/ended := len\(r\.Ends\) > 0 \&\& !r\.Ends\[0\]\.At\.After\(at\)/ended := len(r.Ends) == 0/' ./internal/quarantine TestMergesAgree
+  's/hasTerminations := len\(r\.Terminations\) > 0 \&\& !r\.Terminations\[0\]\.At\.After\(at\)/hasTerminations := len(r.Terminations) == 0/' ./internal/quarantine TestMergesConverge
 mutant "a hanging watch is waited for" internal/quarantine/archive.go \
-  's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestWatchThatHangsIsLeft
+  's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestRefreshCancelsHangingWatch
 mutant "a suspension does not count" internal/clock/clock.go \
   's/return now\.Add\(Suspended\(\)\)/return now/' ./internal/gateway 'TestKeysExpireDuringSuspension|TestTimeLeftAfterSuspension'
 mutant "only members are named as leading" internal/cluster/share.go \
@@ -328,19 +328,19 @@
 mutant "each node reads the whole configuration" internal/feed/firstread.go \
   's/if !ranked \{/if !ranked || rank >= 0 {/' ./internal/feed TestLargeConfigurationAtARestartOfAllNodes
 mutant "a reader that the platform refuses asks nobody" internal/feed/firstread.go \
-  's/if otherErr == nil \{/if otherErr == nil \&\& false {/' ./internal/feed TestReadersThatAreNotThere
+  's/if otherErr == nil \{/if otherErr == nil \&\& false {/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
 mutant "nobody reads for readers that are cut off" internal/feed/picker.go \
-  's/mostReaders  = 16/mostReaders  = 4/' ./internal/feed TestReadersThatAreNotThere
+  's/maxReaders   = 16/maxReaders   = 4/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
 mutant "a silent source is waited for" internal/feed/picker.go \
-  's/askedPatience   = 600/askedPatience = 60000/; s/connectPatience = 200/connectPatience = 60000/' ./internal/feed TestReadersThatAreNotThere
+  's/hedgeDelay        = 600/hedgeDelay = 60000/; s/connectHedgeDelay = 200/connectHedgeDelay = 60000/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
 mutant "what came since an old list is left out" internal/feed/fleet.go \
-  's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestSourceOutOfTouchStillHelps
+  's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestDisconnectedSourceIsUsed
 mutant "a list is given only while its proof is young" internal/fleet/recent.go \
-  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
+  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestDisconnectedSourceIsUsed
 mutant "duties fall to the first by ID" internal/cluster/topology.go \
-  's/func FirstForDuty\(a, b Record\) int \{/func FirstForDuty(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
+  's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
 mutant "the first by ID are followed" internal/cluster/topology.go \
-  's/func FirstForDuty\(a, b Record\) int \{/func FirstForDuty(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/feed TestWeakNodesAreNotFollowed
+  's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/feed TestWeakNodesAreNotFollowed
 mutant "an answer is bounded as a whole" internal/transport/progress.go \
   's/if p\.timer\.Stop\(\) \{/if false {/' ./platform TestAnswerThatKeepsComingIsReadToItsEnd
 mutant "an answer that creeps is never given up" internal/transport/progress.go \
@@ -350,7 +350,7 @@
 mutant "a page that fails ends the list" platform/store.go \
   's/pageTries = 4/pageTries = 1/' ./platform TestPageThatFailsIsAskedForAgain
 mutant "a leader waits as long as it pauses" internal/feed/fleet.go \
-  's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestProofIsYoungAtEachMoment
+  's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestVerificationIsRecentUnderHeartbeatTiming
 mutant "the least known load is taken" internal/gateway/choose.go \
   's/&& !tt\.loadsAreFresh\(now, hr\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestBurstAtManyNodes
 mutant "arrivals elsewhere are not expected" internal/gateway/divide.go \
@@ -366,61 +366,61 @@
 mutant "a restart is the beginning" internal/director/place.go \
   's/ && !s\.servedDomains\[domain\]//' ./internal/director TestMassRestartLimitsLoads
 mutant "copies ahead have no end" internal/placement/copies.go \
-  's/aheadGroups = 2/aheadGroups = 1000/' ./internal/placement TestCopiesAheadAreBounded
+  's/prefetchGroups = 2/prefetchGroups = 1000/' ./internal/placement TestPrefetchedCopiesAreBounded
 mutant "a member counts as long as it lives" internal/cluster/share.go \
-  's/countedIntervals\*c\.memberInterval\(\)/c.liveFor()/' ./internal/cluster TestMovedMemberCountsAtOneHub
+  's/memberLoadIntervals\*c\.memberInterval\(\)/c.livenessTimeout()/' ./internal/cluster TestMovedMemberCountsAtOneHub
 mutant "a hub names its own groups apart" internal/cluster/share.go \
-  's/own\.Loads, own\.Demand = nil, nil//' ./internal/cluster TestAnswerToAMemberNamesEachGroupOnce
+  's/ownState\.Loads, ownState\.Demand = nil, nil//' ./internal/cluster TestAnswerToAMemberNamesEachGroupOnce
 mutant "each answer is judged by itself" internal/director/state.go \
   's/if !s\.reconcilePending \{/if true {/' ./internal/director TestResponsesOfManyVMsAreEvaluatedTogether
 mutant "all VMs get copies before the first callers" internal/placement/copies.go \
-  's/aheadMost = 128/aheadMost = 1 << 20/' ./internal/placement TestCopiesAheadAreBounded
+  's/maxEarlyPrefetch = 128/maxEarlyPrefetch = 1 << 20/' ./internal/placement TestPrefetchedCopiesAreBounded
 mutant "what was planned loads on when callers come" internal/director/groups.go \
   's/s\.mayJoin\(vm, f\) && //' ./internal/director TestTrafficBeforeFirstLoadsLimitsLoads
 mutant "idle connections have no bound" internal/daemon/daemon.go \
   's/MaxIdleConns:        mostIdle,//' ./internal/daemon TestIdleConnectionsAreBounded
 mutant "heads are filled beyond their room" internal/spread/spread.go \
-  's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
+  's/return min\(max\(level-h\.remaining\(\), 0\), h\.headroom\(\)\)/return max(level-h.remaining(), 0)/' ./internal/spread TestSharesKeepToTheHeadroom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
-  's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestUpstreamLimitIsRespected
+  's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/' ./internal/gateway TestUpstreamLimitIsRespected
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
-  's/if !heard \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
+  's/if !domainReachable \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
-  's/if wanted >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersKeepToALimitInSum
+  's/if count >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a foreign node uses the whole limit" internal/backpressure/sharing.go \
-  's/if !s\.Foreign \{\n\t\twanted/if true {\n\t\twanted/' ./internal/backpressure TestHoldersKeepToALimitInSum
+  's/if !s\.Remote \{\n\t\tcount/if true {\n\t\tcount/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a new holder does not wait" internal/backpressure/limit.go \
-  's/now\.Add\(handover\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
+  's/now\.Add\(handoverDelay\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
 mutant "backpressure: an older answer ends a limit" internal/backpressure/table.go \
-  's/ \|\| !sent\.After\(c\.limit\.at\)//' ./internal/backpressure TestAnswerOfBeforeDoesNotEndALimit
+  's/ \|\| !sent\.After\(c\.limit\.reportedAt\)//' ./internal/backpressure TestEarlierResponseDoesNotClearLimit
 mutant "backpressure: a limit is lost with its target" internal/gateway/condition.go \
   's/tt\.conditions\.Sweep\(/tt.conditions = backpressure.NewTable()\n\ttt.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
 mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
   's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestReportedLimitIsRespected
 mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
-  's/\t\ttt\.conditions\.Unsent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestFailedReservationLeavesLimitUnchanged
+  's/\t\ttt\.conditions\.UndoSent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestFailedReservationLeavesLimitUnchanged
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
-  's/hold := tt\.throttle\(now, t, reserved\); hold\.Back/hold := tt.throttle(now, t, reserved); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoSlotReservedAtLimitedHead
+  's/hold := tt\.throttle\(now, t, reserved\); hold\.Throttled/hold := tt.throttle(now, t, reserved); hold.Throttled \&\& len(tried) == 0/' ./internal/gateway TestNoSlotReservedAtLimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
-  's/needed := 1 \+ min\(reserve, mostReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
+  's/needed := 1 \+ min\(reserve, maxReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
-  's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestWordOnAFormerLifeChangesNothing
+  's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestRecordOfPreviousIncarnationIsIgnored
 mutant "backpressure: a word on a VM that is gone goes round for ever" internal/backpressure/table.go \
-  's/!listed \|\| //' ./internal/backpressure TestWordOnAVMThatIsGoneEndsAtAllNodes
+  's/!listed \|\| //' ./internal/backpressure TestRecordOfRemovedVMExpiresAtAllNodes
 mutant "backpressure: a rest is not kept" internal/backpressure/rest.go \
-  's/if now\.Before\(r\.until\) \{/if false {/' ./internal/gateway TestNoRequestsDuringBackoff
+  's/if now\.Before\(b\.until\) \{/if false {/' ./internal/gateway TestNoRequestsDuringBackoff
 mutant "backpressure: all come at once after a rest" internal/backpressure/rest.go \
-  's/if r\.onTrial \{/if false {/' ./internal/backpressure TestAfterARestOneRequestGoesFirst
+  's/if b\.probing \{/if false {/' ./internal/backpressure TestSingleProbeAfterBackoff
 mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
-  's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestRestOfYearsIsBounded
+  's/min\(n\.Backoff, MaxBackoff\)/n.Backoff/' ./internal/backpressure TestBackoffIsBounded
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
   's/ \|\| tt\.conditions\.Leaving\(incarnationOf\(t\.vm\)\)//' ./internal/gateway TestReportedLeavingUpstreamGetsNoRequests
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
-  's/\td\.leavers\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsWhateverItsEntrySays
+  's/\td\.leaving\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsRegardlessOfItsEntry
 mutant "backpressure: what reports say is not heard" platform/engine.go \
   's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
 mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
-  's/, RestFilter\{\}//' ./internal/routing TestRestingUpstreamIsNotChosen
+  's/, BackoffFilter\{\}//' ./internal/routing TestBackingOffUpstreamIsNotChosen
 mutant "an entry that is written late counts as the newest word" internal/director/watch.go \
   's/ \|\| v\.isEntryOutdated\(vm\.Membership\)//' ./internal/director TestEntryOfAFormerGroupFreesNoVM
 mutant "a group is known by its members' entries alone" internal/director/groups.go \
