--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -68,7 +68,7 @@
 func (j *job) relayFull(resp *http.Response, sentAt time.Time) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
-		return errors.CombineErrors(errTruncatedStream, err)
+		return errors.CombineErrors(errTruncated, err)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError && j.shouldRepeat() {
 		return statusError(resp.StatusCode)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,7 +54,7 @@
 	// suspect request while the same request from another caller is in progress.
 	codeQuarantined = "quarantined"
 	codeOnTrial     = "on-trial"
-	// codeUpstreamFailed means that an upstream ran the request and returned an error of its own.
+	// codeUpstreamFailed means that an upstream may have run the request and responded with a statusError.
 	codeUpstreamFailed = "upstream-failed"
 )
 
@@ -89,7 +89,8 @@
 	status int
 }
 
-// statusError is an error response of an upstream that is not passed on.
+// statusError is the status of an upstream's response that is not passed on, because the call is repeated
+// or because its stream has already started.
 type statusError int
 
 // Error implements error.
@@ -261,8 +262,9 @@
 	return j.s.headroom(j.c)
 }
 
-// limitAttempt sets the time after which a repeatable plain call is sent to another upstream because it
-// takes much longer than its objective, if another attempt is left.
+// limitAttempt sets the time from which a repeatable plain call may be moved to another upstream because it
+// takes much longer than its objective, if another attempt is left. At least half of the time until the
+// deadline is kept for that attempt.
 func (j *job) limitAttempt(now time.Time, s *send) {
 	if j.out != nil || j.c.Route.Kind != catalog.Idempotent || j.sends-j.terminated >= j.c.Route.Attempts {
 		return
@@ -276,7 +278,7 @@
 var errSlowAttempt = errors.New("the upstream took too long")
 
 const (
-	// slowAttemptFactor times the objective is the time after which a repeatable call is sent to another
+	// slowAttemptFactor times the objective is the time from which a repeatable call may be moved to another
 	// upstream. Single responses take up to 1.5 objectives (450 ms of 300).
 	slowAttemptFactor = 2
 	// minSlowAttempt is the lower bound of that time.
@@ -339,7 +341,7 @@
 	callerLeft := errors.Is(cause, context.Canceled)
 	stalled := failure.Code != relay.CodeBroken && j.s.targets.stalledDuring(clock.Now(), s)
 	if !callerLeft && !stalled && !errors.Is(cause, errQuarantined) && failure.Code != relay.CodeRefused {
-		j.eject(s, failure.Code != relay.CodeUnreachable)
+		j.recordFailure(s, failure.Code != relay.CodeUnreachable)
 	}
 	if errors.Is(cause, errStalled) || errors.Is(cause, errSlowAttempt) || errors.Is(cause, errLostResponse) || errors.Is(cause, errRestarted) || errors.Is(cause, errQuarantined) {
 		failure.Detail = cause.Error()
@@ -352,7 +354,9 @@
 	return failure
 }
 
-// handleBroken handles a response that started but was not completed.
+// handleBroken handles a response that started but was not completed, and one with a statusError. It panics
+// with http.ErrAbortHandler, which closes the caller's connection, if the caller has disconnected or has
+// received a part of a response that can't continue elsewhere.
 func (j *job) handleBroken(ctx context.Context, s *send, err error) *verdict.Error {
 	if errors.Is(err, errCallerDisconnected) {
 		j.logCallerDisconnected(s, err)
@@ -371,7 +375,7 @@
 	cause := context.Cause(ctx)
 	j.reserved = j.s.targets.takeReservation(s)
 	if !errors.Is(cause, context.Canceled) && !errors.Is(cause, errQuarantined) {
-		j.eject(s, true)
+		j.recordFailure(s, true)
 	}
 	j.logFailedAttempt(s, failure, cause)
 	if failure.Code == codeUpstreamFailed {
@@ -382,7 +386,9 @@
 	return failure
 }
 
-func (j *job) eject(s *send, reached bool) {
+// recordFailure records a failed attempt, which may eject the upstream. reached is false if no byte
+// of the request reached the upstream; if that is the head of a group, it is then reported as suspect.
+func (j *job) recordFailure(s *send, reached bool) {
 	if j.s.targets.recordFailure(clock.Now(), s, reached) {
 		j.s.log.Emit(event.UpstreamEjected).Str("vm", s.vm.ID).Str("group", s.target.group).Str("request", j.c.ID).Bool("reached", reached).Send()
 	}
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -141,8 +141,8 @@
 	return all
 }
 
-// targetTable holds the upstreams that requests can be sent to, and what this node knows about their load
-// and health. mu guards all fields.
+// targetTable holds the upstreams that requests can be sent to, and the load and health that this node
+// tracks for them. mu guards all fields.
 type targetTable struct {
 	mu sync.Mutex
 	// random varies the choices; tests seed it.
@@ -301,7 +301,9 @@
 	}
 }
 
-// retainState returns the existing target, updated, if it is the same incarnation of the VM; next otherwise.
+// retainState returns the existing target of the same VM and group, so that its counts and estimates are
+// kept, with the new entry of the VM and the new engine figures. It returns next, without any state, if there
+// is none or the VM has restarted.
 func (tt *targetTable) retainState(next *target) *target {
 	old := tt.targets[next.key()]
 	if old == nil || !old.vm.SameIncarnation(next.vm) {
@@ -350,7 +352,7 @@
 }
 
 // recordFailure records a failed attempt and reports whether the target has just been ejected. A target
-// that could not be reached is ejected at once.
+// that could not be reached is ejected at once, and always for ejectionBase.
 func (tt *targetTable) recordFailure(now time.Time, s *send, reached bool) bool {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -98,8 +98,8 @@
 	// Mark and Judge implement relay.Dialect.
 	Mark(h http.Header, requestID string)
 	Judge(resp *http.Response, requestID string) error
-	// Condition reads what a response says about the condition of the upstream. The error names the parts
-	// that can't be read; the notice holds all others.
+	// Condition reads the signals about the condition of the upstream from a response. The error names the
+	// parts that can't be read; the result holds all others.
 	Condition(status int, h http.Header) (backpressure.Signals, error)
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -150,7 +150,8 @@
 	return out
 }
 
-// accepts reports whether a candidate accepts the request, and records in out why it does not.
+// accepts reports whether a candidate accepts the request. An unresponsive target accepts one request at a
+// time. If a candidate is overloaded, accepts records that in out.
 func (tt *targetTable) accepts(now time.Time, candidate scoredTarget, request batch.Request, headroom float64, offset time.Duration, out *selection) bool {
 	if candidate.target.unresponsiveCount > 0 && candidate.target.localInFlight > 0 {
 		return false
@@ -168,7 +169,8 @@
 }
 
 // evaluationOrder returns the random order in which candidates are considered. If only a sample is
-// considered, it starts with candidates of this node's failure domain and one of another domain.
+// considered, it starts with sample-1 candidates of this node's failure domain and one of another domain, so
+// that the sample includes another domain.
 func (tt *targetTable) evaluationOrder(candidates []*target) []int {
 	all := tt.random.Perm(len(candidates))
 	if tt.sample == 0 {
@@ -212,7 +214,8 @@
 	return candidate
 }
 
-// adjustScore adds the penalties of a target to its score, and random noise.
+// adjustScore multiplies the score of a plain upstream by its response time, and adds the penalties of the
+// target and random noise.
 func (tt *targetTable) adjustScore(now time.Time, t *target, score float64) float64 {
 	if t.group == "" {
 		score *= max(t.responseTime.Seconds(), minResponseSeconds)
@@ -238,9 +241,10 @@
 	// its upstreams may be unreachable too: two exchanges and a round trip.
 	minPartitionSilence = 800 * time.Millisecond
 	// partitionedPenalty is added to the score of an upstream in such a domain, as a fraction of a full
-	// batch. It is used only when the others are more than full.
+	// batch. Such an upstream is used only when the others are more than full.
 	partitionedPenalty = 1.5
 )
 
-// minResponseSeconds is the assumed response time of a plain upstream that has not responded yet.
+// minResponseSeconds is the lower bound of the response time, in seconds, that is assumed for a plain
+// upstream. The score of one that has not responded yet is based on it.
 const minResponseSeconds = 0.02
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -40,8 +40,9 @@
 	t.count++
 }
 
-// candidates returns the targets that a call may be sent to, and counts the throttled ones. reserved is
-// the fraction of their capacity that is reserved for more urgent calls. The caller holds mu.
+// candidates returns the targets that a call may be sent to, and counts the throttled ones. It omits those
+// in tried and those whose VM is leaving. reserved is the fraction of their capacity that is reserved for
+// more urgent calls. The caller holds mu.
 func (tt *targetTable) candidates(now time.Time, all []*target, tried map[string]bool, reserved float64) ([]*target, throttledTargets) {
 	var out []*target
 	var throttled throttledTargets
@@ -49,8 +50,8 @@
 		if tried[t.key()] || tt.conditions.Leaving(incarnationOf(t.vm)) {
 			continue
 		}
-		if hold := tt.throttle(now, t, reserved); hold.Throttled {
-			throttled.add(hold.Wait)
+		if throttle := tt.throttle(now, t, reserved); throttle.Throttled {
+			throttled.add(throttle.Wait)
 			continue
 		}
 		out = append(out, t)
@@ -112,24 +113,24 @@
 
 // observeCondition processes the upstream's condition in the header of a response.
 func (j *job) observeCondition(sent time.Time, s *send, status int, h http.Header) {
-	notice, err := j.s.upstreamDialect.Condition(status, h)
+	signals, err := j.s.upstreamDialect.Condition(status, h)
 	if err != nil {
 		j.s.reportUnreadable(incarnationOf(s.vm), j.c.ID, err)
 	}
-	if notice.Limited {
+	if signals.Limited {
 		j.s.metrics.Count("upstreams.limits.heard", 1)
 	}
-	if notice.Backoff > 0 {
+	if signals.Backoff > 0 {
 		j.s.metrics.Count("upstreams.rests.heard", 1)
 		j.s.log.Emit(event.UpstreamResting).Str("vm", s.vm.ID).Int64("born", s.vm.Born).Str("group", s.target.group).
-			Str("request", j.c.ID).Int64("rest_ms", notice.Backoff.Milliseconds()).Send()
+			Str("request", j.c.ID).Int64("rest_ms", signals.Backoff.Milliseconds()).Send()
 	}
-	if notice.Leaving {
+	if signals.Leaving {
 		j.s.metrics.Count("upstreams.leaving.heard", 1)
 		j.s.recordLeaving(incarnationOf(s.vm), j.c.ID)
 	}
-	change := j.s.targets.recordCondition(clock.Now(), sent, s, notice)
-	j.s.logLimitChange(change, incarnationOf(s.vm), notice.Limit, 0, j.c.ID)
+	change := j.s.targets.recordCondition(clock.Now(), sent, s, signals)
+	j.s.logLimitChange(change, incarnationOf(s.vm), signals.Limit, 0, j.c.ID)
 	if change == backpressure.LimitSet || change == backpressure.LimitCleared {
 		j.s.parts.TriggerExchange()
 	}
@@ -168,8 +169,8 @@
 	if s.targets.conditions.Leaving(incarnation) {
 		parts = append(parts, "leaves")
 	}
-	if rest := s.targets.conditions.Backoff(now, incarnation); rest > 0 {
-		parts = append(parts, fmt.Sprintf("backs off for another %v", rest.Round(time.Millisecond)))
+	if backoff := s.targets.conditions.Backoff(now, incarnation); backoff > 0 {
+		parts = append(parts, fmt.Sprintf("backs off for another %v", backoff.Round(time.Millisecond)))
 	}
 	if limit, limited := s.targets.conditions.Limit(incarnation); limited {
 		parts = append(parts, fmt.Sprintf("accepts %v/s, reported %v ago", limit.Limit, now.Sub(limit.At).Round(time.Millisecond)))
@@ -200,8 +201,8 @@
 	}
 }
 
-// recordLeaving records that a VM has announced to terminate soon. request is the ID of the request whose
-// response said so, if any.
+// recordLeaving records that a VM has announced that it will terminate soon. request is the ID of the
+// request whose response announced it, if any.
 func (s *Server) recordLeaving(incarnation backpressure.Incarnation, request string) {
 	s.targets.mu.Lock()
 	first := s.targets.conditions.MarkLeaving(clock.Now(), incarnation)
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -19,8 +19,10 @@
 // passes in which they write, callers with prompts of very different lengths, and one retry of each
 // rejected call.
 const (
-	burstStride   = 5
-	burstTimeout  = 6 * time.Second
+	burstStepsPerPass = 5
+	// burstTimeout is the longest timeout of a caller.
+	burstTimeout = 6 * time.Second
+	// burstExchange is the time between two state messages of a node, equal to stateInterval.
 	burstExchange = 300 * time.Millisecond
 	// steadyPhase is the time with the steady rate before the burst.
 	steadyPhase = 10 * time.Second
@@ -28,8 +30,8 @@
 	burstLength = 12 * time.Second
 )
 
-// burstSite holds the parameters of a simulated deployment.
-type burstSite struct {
+// burstParams holds the parameters of a simulated deployment.
+type burstParams struct {
 	nodes, heads int
 	// steadyRate is the number of callers per second before the burst.
 	steadyRate float64
@@ -45,14 +47,14 @@
 }
 
 // fewNodes exchange states directly.
-var fewNodes = burstSite{nodes: 7, heads: 8, steadyRate: 60, objective: 500 * time.Millisecond, eventDelay: 120 * time.Millisecond, engine: catalog.Engine{
-	Slots: 26, StepTime: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, Stride: burstStride,
+var fewNodes = burstParams{nodes: 7, heads: 8, steadyRate: 60, objective: 500 * time.Millisecond, eventDelay: 120 * time.Millisecond, engine: catalog.Engine{
+	Slots: 26, StepTime: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, Stride: burstStepsPerPass,
 	ReadPerSecond: 46000, UsualPrompt: 1600, UsualAnswer: 110, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
 }}
 
 // manyNodes exchange states through hubs, and each sends few requests.
-var manyNodes = burstSite{nodes: 89, heads: 15, steadyRate: 180, objective: 300 * time.Millisecond, eventDelay: 93 * time.Millisecond, stateDelay: 450 * time.Millisecond, engine: catalog.Engine{
-	Slots: 48, StepTime: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: burstStride,
+var manyNodes = burstParams{nodes: 89, heads: 15, steadyRate: 180, objective: 300 * time.Millisecond, eventDelay: 93 * time.Millisecond, stateDelay: 450 * time.Millisecond, engine: catalog.Engine{
+	Slots: 48, StepTime: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: burstStepsPerPass,
 	ReadPerSecond: 56000, UsualPrompt: 900, UsualAnswer: 150, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
 }}
 
@@ -84,7 +86,7 @@
 	tables     []*targetTable
 	servers    []*Server
 	heads      map[string]*burstHead
-	site       burstSite
+	params     burstParams
 	engine     *catalog.Engine
 	eventCount int
 
@@ -136,24 +138,24 @@
 }
 
 // newBurst returns a simulation with all heads open. published holds the engine figures that the nodes
-// use.
-func newBurst(t *testing.T, site burstSite, published *catalog.Engine) *burstSimulation {
+// predict with; the heads behave by those of params.
+func newBurst(t *testing.T, params burstParams, published *catalog.Engine) *burstSimulation {
 	t.Helper()
 	start := time.Unix(1_000_000, 0)
-	c := &burstSimulation{now: start, random: rand.New(rand.NewPCG(7, 11)), heads: make(map[string]*burstHead), site: site, engine: &site.engine}
-	route := catalog.Route{Name: "r", Prefix: "/a/", Objective: site.objective, Targets: []catalog.Target{{Service: "s", Weight: 1}}}
+	c := &burstSimulation{now: start, random: rand.New(rand.NewPCG(7, 11)), heads: make(map[string]*burstHead), params: params, engine: &params.engine}
+	route := catalog.Route{Name: "r", Prefix: "/a/", Objective: params.objective, Targets: []catalog.Target{{Service: "s", Weight: 1}}}
 	current, err := catalog.New(catalog.Content{Version: 1, Routes: []catalog.Route{route}, Services: []catalog.Service{{Name: "s", Engine: published}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	vms := make(map[string]*fleet.VM)
-	for i := range site.heads {
+	for i := range params.heads {
 		id := fmt.Sprintf("vm%d", i)
 		vms[id] = &fleet.VM{ID: id, Service: "s", FailureDomain: "x",
 			Membership: fleet.Membership{Group: "g" + id, Generation: 1, State: fleet.Open, Model: "m"}}
 		c.heads[id] = &burstHead{vm: id}
 	}
-	for i := range site.nodes {
+	for i := range params.nodes {
 		tt := newTargetTable("x", retry.Limit{Window: time.Second}, noneDissolving, start)
 		tt.random = rand.New(rand.NewPCG(uint64(i), 1))
 		tt.rebuild(current, fleet.NewSnapshot(vms, 1, start))
@@ -161,11 +163,11 @@
 		slices.SortFunc(tt.pools["s"].heads["m"], func(x, y *target) int { return strings.Compare(x.vm.ID, y.vm.ID) })
 		c.tables = append(c.tables, tt)
 		c.servers = append(c.servers, &Server{targets: tt})
-		if site.stateDelay == 0 {
-			c.schedule(time.Duration(i)*burstExchange/time.Duration(site.nodes), func() { c.exchange(i) })
+		if params.stateDelay == 0 {
+			c.schedule(time.Duration(i)*burstExchange/time.Duration(params.nodes), func() { c.exchange(i) })
 		}
 	}
-	if site.stateDelay > 0 {
+	if params.stateDelay > 0 {
 		c.aggregateStates()
 	}
 	return c
@@ -193,9 +195,9 @@
 		}
 	}
 	sentAt := c.now
-	c.schedule(c.site.stateDelay, func() {
+	c.schedule(c.params.stateDelay, func() {
 		for i, tt := range c.tables {
-			sum := &marbleroadv1.NodeState{Node: "others", FailureDomain: "x", Summed: uint32(c.site.nodes - 1)}
+			sum := &marbleroadv1.NodeState{Node: "others", FailureDomain: "x", Summed: uint32(c.params.nodes - 1)}
 			for group, n := range all {
 				sum.Loads = append(sum.Loads, &marbleroadv1.GroupLoad{Group: group, InFlight: n - localLoads[i][group]})
 			}
@@ -225,9 +227,9 @@
 	}
 	one := &burstCall{
 		firstAttempt:   c.now,
-		timeout:        burstTimeout - time.Duration(c.random.Float64()*float64(c.site.timeoutSpread)),
+		timeout:        burstTimeout - time.Duration(c.random.Float64()*float64(c.params.timeoutSpread)),
 		responseTokens: 1 + int(c.random.ExpFloat64()*c.engine.UsualAnswer),
-		call: &Call{Service: "s", Model: "m", CallerTimeout: burstTimeout, Route: &catalog.Route{Name: "r", Objective: c.site.objective},
+		call: &Call{Service: "s", Model: "m", CallerTimeout: burstTimeout, Route: &catalog.Route{Name: "r", Objective: c.params.objective},
 			PromptTokens: 40 + int(min(c.random.ExpFloat64(), 4)*c.engine.UsualPrompt)},
 	}
 	c.deliver(one)
@@ -236,7 +238,7 @@
 
 // deliver sends a call to a random node. A rejected call is retried once.
 func (c *burstSimulation) deliver(one *burstCall) {
-	node := c.random.IntN(c.site.nodes)
+	node := c.random.IntN(c.params.nodes)
 	tt := c.tables[node]
 	call := *one.call
 	call.Arrived = c.now
@@ -282,7 +284,7 @@
 		}
 	}
 	step := c.engine.StepTime + time.Duration(writers)*c.engine.PerSequence
-	length := burstStride*step + time.Duration(float64(prompts)/c.engine.ReadPerSecond*float64(time.Second))
+	length := burstStepsPerPass*step + time.Duration(float64(prompts)/c.engine.ReadPerSecond*float64(time.Second))
 	c.schedule(length, func() { c.finishPass(h) })
 }
 
@@ -292,18 +294,18 @@
 		switch {
 		case !one.promptRead:
 			one.promptRead = true
-			c.schedule(c.site.eventDelay, func() { c.recordFirstEvent(one) })
+			c.schedule(c.params.eventDelay, func() { c.recordFirstEvent(one) })
 		case one.writtenTokens == 0:
-			one.writtenTokens += burstStride
+			one.writtenTokens += burstStepsPerPass
 		default:
-			one.writtenTokens += burstStride
-			c.schedule(c.site.eventDelay, func() { one.table.recordEvent(c.now, one.send) })
+			one.writtenTokens += burstStepsPerPass
+			c.schedule(c.params.eventDelay, func() { one.table.recordEvent(c.now, one.send) })
 		}
 		if one.writtenTokens < one.responseTokens {
 			unfinished = append(unfinished, one)
 			continue
 		}
-		c.schedule(c.site.eventDelay, func() {
+		c.schedule(c.params.eventDelay, func() {
 			one.table.recordSuccess(one.send, c.now.Sub(one.send.sentAt))
 			one.table.finish(one.send)
 		})
@@ -318,7 +320,7 @@
 	if one.firstAttempt.Before(c.measureFrom) {
 		return
 	}
-	if c.now.Sub(one.firstAttempt) <= c.site.objective {
+	if c.now.Sub(one.firstAttempt) <= c.params.objective {
 		c.inTime++
 	} else {
 		c.late++
@@ -338,7 +340,7 @@
 func (c *burstSimulation) run(rate float64) (inTime, late float64) {
 	end := c.now.Add(steadyPhase + burstLength)
 	c.measureFrom = c.now.Add(steadyPhase + burstWarmUp)
-	c.sendCalls(c.site.steadyRate, c.now.Add(steadyPhase))
+	c.sendCalls(c.params.steadyRate, c.now.Add(steadyPhase))
 	c.schedule(steadyPhase, func() { c.sendCalls(rate, end) })
 	c.advance(end)
 	measured := (burstLength - burstWarmUp).Seconds()
@@ -374,10 +376,10 @@
 // first attempts. Rejected callers retried within 0.3 s, into the same burst, and took the slots of
 // callers that could be in time: 139 responses per second were in time and 113 late.
 func TestBurstWithRetries(t *testing.T) {
-	site := manyNodes
-	site.timeoutSpread = 900 * time.Millisecond
+	params := manyNodes
+	params.timeoutSpread = 900 * time.Millisecond
 	for _, rate := range []float64{450, 900} {
-		c := newBurst(t, site, &site.engine)
+		c := newBurst(t, params, &params.engine)
 		inTime, late := c.run(rate)
 		t.Logf("%.0f per second: %.1f in time, %.1f late; %d retried, %d rejected again", rate, inTime, late, c.retried, c.rejectedTwice)
 		if late > 0.3*inTime {
@@ -401,7 +403,7 @@
 		t.Fatalf("%d nodes reject a third in the burst: the simulated load is too low for this test", overloaded)
 	}
 	end := c.now.Add(20 * time.Second)
-	c.sendCalls(c.site.steadyRate/4, end)
+	c.sendCalls(c.params.steadyRate/4, end)
 	c.advance(end)
 	for i, tt := range c.tables {
 		if rejected := tt.demand[key].rejectedShare; rejected > 0 {
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// demandSmoothing is the weight of the latest second in the smoothed demand. One node receives about
+	// demandSmoothing is the weight of the latest interval in the smoothed demand. One node receives about
 	// ten requests a second, whose sizes differ widely.
 	demandSmoothing = 0.1
 )
@@ -96,7 +96,7 @@
 	return tt.budget(service).Take(now, nodes)
 }
 
-// demandInterval is the interval at which demand is measured.
+// demandInterval is the minimum time between two updates of the smoothed demand.
 const demandInterval = time.Second
 
 func (tt *targetTable) updateDemand(now time.Time) {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -87,7 +87,7 @@
 			t.Fatal("a slot was reserved without credit")
 		}
 	}
-	if hold := tt.throttle(later, s.target, 0); hold.Throttled {
+	if throttle := tt.throttle(later, s.target, 0); throttle.Throttled {
 		t.Error("attempts to reserve a slot used up the limit")
 	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -389,7 +389,10 @@
 	}
 }
 
-// checkSends moves silent and slow sends to other upstreams, as far as possible.
+// checkSends performs the periodic checks of the requests in progress: it moves lost, slow, stuck and stalled
+// sends to other upstreams where their calls can continue, and reports stalled heads to the director and, by
+// an immediate exchange, to the other nodes. It also updates the load metrics, detects scheduling stalls of
+// this process, and confirms terminations.
 func (s *Server) checkSends(now time.Time) {
 	s.publishLoadStats(now)
 	if stalled := s.targets.detectSchedulingStall(now); stalled >= minLoggedStall {
@@ -414,8 +417,8 @@
 	}
 }
 
-// moveAll cancels the sends whose calls can continue elsewhere and returns their number. The others are
-// waited for.
+// moveAll cancels the sends whose calls can continue elsewhere and returns their number. The others keep
+// waiting for their upstreams.
 func (s *Server) moveAll(now time.Time, sends []*send, cause error) int {
 	moved := 0
 	for _, sent := range sends {
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -22,7 +22,7 @@
 	// domain) and used up most of the budget for repeats.
 	passMargin = 1.25
 	// samePass is the pause below which two events belong to the same pass of the engine. Only longer
-	// pauses tell how long a pass takes.
+	// pauses show how long a pass takes.
 	samePass = 8 * time.Millisecond
 	maxStall = 900 * time.Millisecond
 	// firstStall is the length of a stall while none of the head's streams has started. A first event
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	// errTruncatedStream means that a response ended before its proper end.
-	errTruncatedStream = errors.New("the response was truncated")
+	// errTruncated means that a response ended before its proper end.
+	errTruncated = errors.New("the response was truncated")
 	// errCallerDisconnected means that the caller no longer reads the response.
 	errCallerDisconnected = errors.New("the caller disconnected")
 	// errPartialResponse means that a long response was truncated after a part of it was passed on.
@@ -79,7 +79,7 @@
 	if errors.Is(err, io.EOF) && len(e.buf) == 0 {
 		return io.EOF
 	}
-	return errors.CombineErrors(errTruncatedStream, err)
+	return errors.CombineErrors(errTruncated, err)
 }
 
 // streamOut writes a stream to a caller. It is used by the goroutine of the request only. Invariant: the
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// follows checks that the ID of an event follows the last one. repeat is true for an event that the caller
-// already has.
+// follows checks that the ID of an event follows that of the last one passed on, and returns an error if
+// events are missing in between. repeat is true for an event that the caller already has.
 func (o *streamOut) follows(id string) (repeat bool, err error) {
 	if o.lastEventID == "" {
 		return false, nil
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -400,7 +400,7 @@
 mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
   's/\t\ttt\.conditions\.UndoSent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestFailedReservationLeavesLimitUnchanged
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
-  's/hold := tt\.throttle\(now, t, reserved\); hold\.Throttled/hold := tt.throttle(now, t, reserved); hold.Throttled \&\& len(tried) == 0/' ./internal/gateway TestNoSlotReservedAtLimitedHead
+  's/throttle := tt\.throttle\(now, t, reserved\); throttle\.Throttled/throttle := tt.throttle(now, t, reserved); throttle.Throttled \&\& len(tried) == 0/' ./internal/gateway TestNoSlotReservedAtLimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
   's/needed := 1 \+ min\(reserve, maxReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
