--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -30,10 +30,11 @@
 
 // Admit reports whether an engine admits a request, given the offset learned for its
 // model. A request that can still meet its objective is admitted if the prediction says
-// that it will. A request that would be late even on an idle engine is admitted only if
-// it makes no other request late. Prompt tokens above the mean prompt length do not count
-// against their own request, so that long prompts are not served less often than short
-// ones.
+// that it will. A request that would be late even on an idle engine, because its time has
+// been used up, is admitted only if it makes no other request late. If the engine is too
+// slow for any request to meet the objective, it admits requests while a slot is free.
+// Prompt tokens above the mean prompt length do not count against their own request, so
+// that long prompts are not served less often than short ones.
 func (e Engine) Admit(load Load, r Request, offset time.Duration) bool {
 	if !e.CanPredict() || r.Objective <= 0 {
 		return true
@@ -53,6 +54,6 @@
 		return e.TimeToFirstEvent(load, prompt)+offset <= left
 	}
 	after := Load{InFlight: load.InFlight + 1, UnreadTokens: load.UnreadTokens + r.PromptTokens, PassTime: load.PassTime}
-	spare := time.Duration(lateAdmissionShare * float64(r.Objective))
-	return load.InFlight < e.Slots && e.TimeToFirstEvent(after, e.MeanPrompt)+offset <= spare
+	maxFirst := time.Duration(lateAdmissionShare * float64(r.Objective))
+	return load.InFlight < e.Slots && e.TimeToFirstEvent(after, e.MeanPrompt)+offset <= maxFirst
 }
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -46,7 +46,8 @@
 	PassTime time.Duration
 }
 
-// DecodeTime returns the time that one pass decodes for a number of running requests.
+// DecodeTime returns the time that one pass spends on decoding for the given number of
+// running requests.
 func (e Engine) DecodeTime(running int) time.Duration {
 	step := e.StepTime + time.Duration(min(running, e.Slots))*e.PerSequence
 	return e.scale(float64(max(e.StepsPerPass, 1)) * float64(step))
@@ -61,16 +62,17 @@
 	return e.DecodeTime(e.Slots) + e.ReadTime(float64(max(e.StepsPerPass, 1)*e.MaxReadPerStep))
 }
 
-// ReadTime returns the time that an engine needs to read so many prompt tokens.
+// ReadTime returns the time that an engine needs to read the given number of prompt tokens.
 func (e Engine) ReadTime(tokens float64) time.Duration {
 	return e.scale(tokens / e.ReadPerSecond * float64(time.Second))
 }
 
-// TimeToFirstEvent predicts the time until the first event of a request with so many
-// prompt tokens. It is the sum of the rest of the current pass (half a pass on average),
-// the wait for a slot, the reading of the prompts ahead and of the request's own, and the
-// pass that decodes its first tokens. The constant overhead of the network and the engine
-// is not included; see Offset.
+// TimeToFirstEvent predicts the time until the first event of a request whose prompt has
+// the given number of tokens. It is the sum of the rest of the current pass (half a pass
+// on average), the wait for a slot, the reading of the prompts ahead and of the request's
+// own, and the decoding of its first tokens. Observed passes that take longer than the
+// engine's figures predict lengthen the first two parts only. The constant overhead of
+// the network and the engine is not included; see Offset.
 func (e Engine) TimeToFirstEvent(load Load, prompt float64) time.Duration {
 	decode := e.DecodeTime(load.InFlight + 1)
 	pass := max(decode, load.PassTime)
@@ -90,18 +92,19 @@
 	return float64(running) * min(within.Seconds()/serviceTime, 1)
 }
 
-// slotWait returns the time until a slot is free for one more request. While all slots
-// are in use, one becomes free whenever a running request finishes.
+// slotWait returns the expected time until a slot is free for one more request, given the
+// duration of a pass. A request of mean length holds its slot for as many passes as its
+// answer takes, so while all slots are in use, one becomes free every 1/Slots of that time.
 func (e Engine) slotWait(inFlight int, pass time.Duration) time.Duration {
-	ahead := inFlight + 1 - e.Slots
-	if ahead <= 0 {
+	completions := inFlight + 1 - e.Slots // must happen before the request gets a slot
+	if completions <= 0 {
 		return 0
 	}
 	passes := e.MeanAnswer / float64(max(e.StepsPerPass, 1))
-	return time.Duration(float64(ahead) * passes * float64(pass) / float64(e.Slots))
+	return time.Duration(float64(completions) * passes * float64(pass) / float64(e.Slots))
 }
 
-// scale applies Pace to a duration in nanoseconds.
+// scale multiplies a duration in nanoseconds by Pace.
 func (e Engine) scale(t float64) time.Duration {
 	if e.Pace > 0 {
 		t *= e.Pace
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -15,7 +15,8 @@
 }
 
 // TestFirstEventAddsUp compares predictions with sums computed by hand: half a pass, the
-// reading of all prompts, and a pass.
+// reading of all prompts and a pass; then with observed passes that take longer, and with
+// all slots in use.
 func TestFirstEventAddsUp(t *testing.T) {
 	e := engine()
 	load := Load{InFlight: 9, UnreadTokens: 2000}
@@ -55,6 +56,8 @@
 	})
 }
 
+// TestAdmit checks the rules of Admit: for requests in time and late ones, for less urgent ones,
+// and for engines that are idle, too slow or without figures.
 func TestAdmit(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	const offset = 150 * time.Millisecond
--- a/internal/batch/offset.go
+++ b/internal/batch/offset.go
@@ -26,7 +26,9 @@
 // Value returns the current offset.
 func (o *Offset) Value() time.Duration { return o.value }
 
-// Learn updates the offset from the elapsed time until a first event and its prediction.
+// Learn updates the offset from the elapsed time until a first event and its prediction: a
+// late event raises the offset by the fraction onTimeShare of a step, one in time lowers it
+// by the rest of a step, so it converges to the onTimeShare quantile of the lateness.
 func (o *Offset) Learn(elapsed, predicted time.Duration) {
 	if elapsed > predicted+o.value {
 		o.value += time.Duration(onTimeShare * float64(offsetStep))
@@ -36,9 +38,9 @@
 	o.value = min(max(o.value, 0), maxOffset)
 }
 
-// Decay lowers the offset slightly. It is called for each request that was rejected
-// because of the offset: an offset that rejects all requests gets no first events to learn
-// from, and would otherwise stay.
+// Decay lowers the offset by a twentieth of a step. It is called for each request that is
+// rejected after Admit returned false for an engine: an offset so high that all requests are
+// rejected gets no first events to learn from, and would otherwise never fall.
 func (o *Offset) Decay() {
 	o.value -= offsetStep / 20
 	o.value = max(o.value, 0)
