--- a/internal/spread/life.go
+++ b/internal/spread/life.go
@@ -9,15 +9,16 @@
 	minDurations      = 16
 )
 
-// ServiceTime estimates the mean service time of requests at a head from those that finish successfully.
-// The sizes of answers differ between models and change over the day, whereas the figure that an
-// engine reports is a mean over all of them.
+// ServiceTime estimates the mean service time of one model's requests, which is the time from sending a
+// request to a head until its complete response, from those that finish successfully. The sizes of
+// answers differ between models and change over the day, whereas the platform publishes one mean answer
+// size for the engine, over all models.
 type ServiceTime struct {
 	mean     time.Duration
 	finished int
 }
 
-// Record records the service time of one finished request.
+// Record adds the service time of one finished request to the mean. The first few count equally.
 func (s *ServiceTime) Record(elapsed time.Duration) {
 	s.finished++
 	weight := max(durationSmoothing, 1/float64(s.finished))
@@ -27,8 +28,8 @@
 // Mean returns the mean service time; zero while no request has finished.
 func (s *ServiceTime) Mean() time.Duration { return s.mean }
 
-// PredictCompletions predicts how many of load requests finish within a time. It returns false while
-// too few requests have finished for a prediction.
+// PredictCompletions predicts how many of the load requests at a head finish within the given time. It
+// returns false while too few requests have finished for a prediction.
 func (s *ServiceTime) PredictCompletions(load float64, within time.Duration) (float64, bool) {
 	if s.finished < minDurations || s.mean <= 0 {
 		return 0, false
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -29,16 +29,17 @@
 // headroom returns how many requests the head can take until the next update.
 func (h Head) headroom() float64 { return max(h.MaxLoad-h.remaining(), 0) }
 
-// Shares returns the fraction, 0 to 1, of the next requests that each head gets, where expected is the
-// number of requests that all nodes send until the next update. If the fractions add up to less than 1,
-// the rest of the requests is rejected.
+// Shares returns for each head the fraction, 0 to 1, of the next requests that it gets, such that the
+// loads of the heads become equal. expected is the estimated number of requests that all nodes together
+// send until the next update. If the headroom does not suffice for these, the fractions add up to less
+// than 1, and the rest of the requests is rejected.
 func Shares(heads []Head, expected float64) []float64 {
 	out := make([]float64, len(heads))
 	headroom := Headroom(heads)
 	if headroom <= 0 {
 		return out
 	}
-	// At least the request that is being decided on arrives.
+	// The request that is being decided on counts even if no other is expected.
 	expected = max(expected, 1)
 	if expected >= headroom {
 		for i, h := range heads {
@@ -53,7 +54,7 @@
 	return out
 }
 
-// requestsTo returns how many requests raise the head's load to a level, bounded by its headroom.
+// requestsTo returns how many requests raise the head's load to the given level, at most its headroom.
 func (h Head) requestsTo(level float64) float64 {
 	return min(max(level-h.remaining(), 0), h.headroom())
 }
@@ -67,12 +68,12 @@
 	return sum
 }
 
-// bisectionSteps is the number of steps in which levelAfter halves the range of the level: the result
-// is far finer than one request.
+// bisectionSteps is the number of times that levelAfter halves the interval that contains the level;
+// after it, the interval is far smaller than one request.
 const bisectionSteps = 40
 
-// levelAfter returns the load that heads reach when so many requests are each sent to the head with the
-// lowest load. The requests must fit into the headroom.
+// levelAfter returns the load up to which the heads below it are filled when the given number of requests
+// is sent one by one, each to the head with the lowest load. The requests must fit into the headroom.
 func levelAfter(heads []Head, requests float64) float64 {
 	low, high := heads[0].remaining(), heads[0].MaxLoad
 	for _, h := range heads {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -50,7 +50,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		heads := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Head {
 			load := rapid.Float64Range(0, 200).Draw(t, "load")
-			return Head{Load: load, MaxLoad: rapid.Float64Range(0, 60).Draw(t, "most"), Completions: load * rapid.Float64Range(0, 1).Draw(t, "finishing share")}
+			return Head{Load: load, MaxLoad: rapid.Float64Range(0, 60).Draw(t, "max load"), Completions: load * rapid.Float64Range(0, 1).Draw(t, "completed share")}
 		}), 1, 20).Draw(t, "heads")
 		expected := rapid.Float64Range(0, 500).Draw(t, "expected")
 		shares := Shares(heads, expected)
@@ -69,8 +69,8 @@
 	})
 }
 
-// TestRateFollowsALoadSurge checks that the measured rate reaches a new arrival rate within a few seconds,
-// and falls while no requests arrive.
+// TestRateFollowsALoadSurge checks that the measured rate reaches a new arrival rate within three seconds,
+// and falls within three seconds once no more requests arrive.
 func TestRateFollowsALoadSurge(t *testing.T) {
 	var r Rate
 	now := time.Unix(1000, 0)
