--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -15,8 +15,8 @@
 	view.Upstream
 	// LocalInFlight is the number of this entry's requests in flight there.
 	LocalInFlight int
-	// Slowness is the upstream's smoothed time for a request as a multiple of
-	// its peers' median; zero when unknown.
+	// Slowness is the upstream's smoothed request duration as a multiple of the
+	// median over the service's upstreams; zero when unknown.
 	Slowness float64
 	// Ejected is true while the upstream is ejected for failures or slowness.
 	Ejected bool
@@ -95,8 +95,9 @@
 	return (wait + loadCost + prefill) * max(c.Slowness, 1)
 }
 
-// LowestScorePicker picks the lowest score. It breaks ties by rendezvous hash of
-// the prompt, so that equal prompts are sent to the same upstream.
+// LowestScorePicker picks the lowest score. It breaks ties by rendezvous hash of the
+// request's Affinity, so that prompts with the same first block are sent to the same
+// upstream.
 type LowestScorePicker struct {
 	// Margin is the fraction by which a score may exceed the lowest and still
 	// count as equal.
@@ -125,7 +126,7 @@
 	return best
 }
 
-// Policy combines the three steps of a routing decision.
+// Policy combines the three steps of a routing decision: filter, score and pick.
 type Policy struct {
 	Filters []Filter
 	Scorer  Scorer
--- a/internal/routing/tracker.go
+++ b/internal/routing/tracker.go
@@ -20,7 +20,7 @@
 	// failuresToEject is how many consecutive failures eject an upstream.
 	failuresToEject = 3
 	// slowFactor is the multiple of the median duration from which on an upstream
-	// counts as slow.
+	// is ejected as slow.
 	slowFactor = 3
 	// ejectionBase is the duration of the first ejection; it doubles each time.
 	ejectionBase = 2 * time.Second
@@ -35,9 +35,10 @@
 	blockBytes = 256
 	// maxBlocks is the maximum number of blocks hashed per prompt.
 	maxBlocks = 16
-	// retryShare is the fraction of the traffic that may be retries.
+	// retryShare is the number of retries that each request sent to an upstream adds to
+	// the retry budget, so it is the fraction of the traffic that may be retries.
 	retryShare = 0.1
-	// retryBurst is the maximum number of retries at once.
+	// retryBurst is the capacity of the retry budget: the maximum number of retries at once.
 	retryBurst = 10
 )
 
@@ -55,13 +56,15 @@
 	backoffUntil time.Time
 }
 
-// Tracker collects statistics of upstreams from the outcomes of requests. It is not
-// safe for concurrent use; its owner holds a lock.
+// Tracker collects statistics of one service's upstreams from the outcomes of requests,
+// and holds this entry's budget for retries of the service's requests. It is not safe
+// for concurrent use; its owner holds a lock.
 type Tracker struct {
 	upstreams map[string]*stats
 	// prefixes maps the hash of a prompt block to the upstream that it was last sent to.
 	prefixes *lru.Cache[uint64, string]
-	// retryTokens is the number of retries that the retry budget allows now.
+	// retryTokens is the number of retries that the retry budget allows now. Sent requests
+	// add to it, and each retry takes one.
 	retryTokens float64
 }
 
@@ -75,7 +78,8 @@
 	}
 }
 
-// Blocks hashes a prompt's blocks, each together with all blocks before it.
+// Blocks returns one hash for each block of a prompt, up to maxBlocks. Each hash also covers
+// all blocks before its own, so two prompts share a hash only if they have that prefix in common.
 func Blocks(prompt []byte) []uint64 {
 	var out []uint64
 	d := xxhash.New()
@@ -93,7 +97,7 @@
 	out := make([]Candidate, len(ups))
 	median := t.median(ids(ups))
 	for i, u := range ups {
-		s := t.stats(u.ID)
+		s := t.statsOf(u.ID)
 		out[i] = Candidate{
 			Upstream:      u,
 			LocalInFlight: s.inFlight,
@@ -119,7 +123,7 @@
 
 // RecordStart records that a request is sent to the upstream.
 func (t *Tracker) RecordStart(id string, blocks []uint64) {
-	t.stats(id).inFlight++
+	t.statsOf(id).inFlight++
 	t.retryTokens = min(t.retryTokens+retryShare, retryBurst)
 	for _, b := range blocks {
 		t.prefixes.Add(b, id)
@@ -148,7 +152,7 @@
 	const minUpstreams = 3
 	var durations []time.Duration
 	for _, p := range peers {
-		if s := t.stats(p); s.durations >= minDurations {
+		if s := t.statsOf(p); s.durations >= minDurations {
 			durations = append(durations, s.duration)
 		}
 	}
@@ -161,7 +165,7 @@
 
 // RecordDuration records the duration of a complete request at the upstream.
 func (t *Tracker) RecordDuration(id string, elapsed time.Duration) {
-	s := t.stats(id)
+	s := t.statsOf(id)
 	s.durations++
 	// The first few durations count equally, so that one outlier has little weight.
 	weight := max(durationSmoothing, 1/float64(s.durations))
@@ -171,7 +175,7 @@
 // RecordEnd records the end of a request. It reports whether this ejects the upstream;
 // peers are the IDs of all upstreams of the service.
 func (t *Tracker) RecordEnd(now time.Time, id string, failed bool, peers []string) bool {
-	s := t.stats(id)
+	s := t.statsOf(id)
 	s.inFlight = max(s.inFlight-1, 0)
 	if !failed {
 		s.failures = 0
@@ -186,7 +190,7 @@
 
 // ejectSlow ejects an upstream whose requests take several times as long as its peers'.
 func (t *Tracker) ejectSlow(now time.Time, id string, peers []string) bool {
-	if t.stats(id).slowness(t.median(peers)) < slowFactor {
+	if t.statsOf(id).slowness(t.median(peers)) < slowFactor {
 		return false
 	}
 	return t.eject(now, id, peers)
@@ -196,11 +200,11 @@
 func (t *Tracker) eject(now time.Time, id string, peers []string) bool {
 	ejected := 0
 	for _, p := range peers {
-		if now.Before(t.stats(p).ejectedUntil) {
+		if now.Before(t.statsOf(p).ejectedUntil) {
 			ejected++
 		}
 	}
-	s := t.stats(id)
+	s := t.statsOf(id)
 	if now.Before(s.ejectedUntil) || float64(ejected+1) > maxEjectedShare*float64(len(peers)) {
 		return false
 	}
@@ -215,14 +219,13 @@
 
 // RecordBackoff records that an upstream asks this entry to back off for a time.
 func (t *Tracker) RecordBackoff(now time.Time, id string, backoff time.Duration) {
-	s := t.stats(id)
+	s := t.statsOf(id)
 	if until := now.Add(min(backoff, backpressure.MaxBackoff)); until.After(s.backoffUntil) {
 		s.backoffUntil = until
 	}
 }
 
-// TakeRetry takes one retry from the retry budget. It returns false if the budget is
-// used up.
+// TakeRetry takes one retry from the retry budget. It returns false if none is left.
 func (t *Tracker) TakeRetry() bool {
 	if t.retryTokens < 1 {
 		return false
@@ -232,10 +235,10 @@
 }
 
 // LocalInFlight returns the number of this entry's requests in flight at the upstream.
-func (t *Tracker) LocalInFlight(id string) int { return t.stats(id).inFlight }
+func (t *Tracker) LocalInFlight(id string) int { return t.statsOf(id).inFlight }
 
-// stats returns the statistics of an upstream, which it creates on first use.
-func (t *Tracker) stats(id string) *stats {
+// statsOf returns the statistics of an upstream, which it creates on first use.
+func (t *Tracker) statsOf(id string) *stats {
 	s := t.upstreams[id]
 	if s == nil {
 		s = &stats{}
