--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -27,8 +27,8 @@
 	nextRetryAt time.Time
 }
 
-// Limiter enforces the rate and concurrency limits of each subject at one entry. It
-// is not safe for concurrent use; its owner holds a lock.
+// Limiter enforces the rate and concurrency limits of each subject (see Limit) at one
+// entry. It is not safe for concurrent use; its owner holds a lock.
 type Limiter struct {
 	buckets map[string]*bucket
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -15,13 +15,19 @@
 
 // The reasons for a refusal.
 const (
-	Displaced       Reason = "displaced"
-	QueueFull       Reason = "queue-full"
-	DeadlineShort   Reason = "deadline-short"
-	NoUpstream      Reason = "no-upstream"
+	// Displaced means that a request that ranks higher took its place in a full queue.
+	Displaced Reason = "displaced"
+	// QueueFull means that the queue is full of requests that rank at least as high.
+	QueueFull Reason = "queue-full"
+	// DeadlineShort means that no slot is expected to be free before the deadline.
+	DeadlineShort Reason = "deadline-short"
+	// NoUpstream means that the service has no healthy upstream, so its queue has no slots.
+	NoUpstream Reason = "no-upstream"
+	// OverRate and OverConcurrency mean that the team is over a limit of its own; see Limit.
 	OverRate        Reason = "over-rate"
 	OverConcurrency Reason = "over-concurrency"
-	Stopping        Reason = "stopping"
+	// Stopping means that the entry is shutting down.
+	Stopping Reason = "stopping"
 )
 
 // Refusal describes a refused request, which did not run at any upstream.
@@ -114,7 +120,7 @@
 	nextRetryAt time.Time
 }
 
-// NewQueue returns a queue with no capacity.
+// NewQueue returns a queue with no capacity: it refuses all requests until Resize is called.
 func NewQueue() *Queue {
 	q := &Queue{serviceTime: initialServiceTime}
 	for i := range q.levels {
@@ -190,7 +196,7 @@
 	return q.dispatch(now), refused
 }
 
-// Abandon removes a waiting ticket whose caller has disconnected.
+// Abandon removes a waiting ticket whose caller has disconnected, and closes Ready.
 func (q *Queue) Abandon(t *Ticket) {
 	if t.State != Waiting {
 		return
@@ -433,7 +439,9 @@
 
 // expire refuses waiting tickets that can no longer meet their deadlines, so that
 // none waits in vain. If all slots are in use and none has become free for longer
-// than the service time, the upstreams hang, and the slot interval is at least the excess.
+// than the service time, the upstreams hang. The time by which the service time is
+// exceeded then serves as the slot interval if it is longer than the usual one, so the
+// expected wait grows until a slot becomes free.
 func (q *Queue) expire(now time.Time) []*Ticket {
 	interval := q.slotInterval()
 	if !q.lastFinish.IsZero() && q.running >= q.capacity {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -90,11 +90,11 @@
 					t.Fatalf("%d wait (bound %d) while %d of %d run", len(waiting), bound, len(running), capacity)
 				}
 				for _, x := range all {
-					notified := x.State != Waiting
+					mustBeClosed := x.State != Waiting
 					select {
 					case <-x.Ready:
 					default:
-						if notified {
+						if mustBeClosed {
 							t.Fatalf("Ready of a ticket in state %d is not closed", x.State)
 						}
 					}
@@ -108,7 +108,8 @@
 }
 
 // TestHangingUpstreamsEndTheWait checks that waiting requests are refused long before
-// their deadlines when slots stop becoming free.
+// their deadlines when no slot becomes free: the time since the last one did must then
+// raise the expected wait, since no finished request raises the mean service time.
 func TestHangingUpstreamsEndTheWait(t *testing.T) {
 	q := NewQueue()
 	q.Resize(start, 2, 10)
@@ -134,6 +135,8 @@
 	}
 }
 
+// TestLimiterTakesAndRefunds checks the burst of the rate limit, the refund of a request, that
+// refused requests get successive retry times, and the concurrency limit.
 func TestLimiterTakesAndRefunds(t *testing.T) {
 	l := NewLimiter()
 	limit := Limit{Rate: 40, Concurrency: 100}
@@ -152,7 +155,7 @@
 	}
 	first, second := l.Take(start, "a", limit), l.Take(start, "a", limit)
 	if first == nil || second == nil || second.RetryAfter <= first.RetryAfter {
-		t.Errorf("retry times %v, %v do not follow each other", first, second)
+		t.Errorf("retry times %v, %v do not increase", first, second)
 	}
 	one := Limit{Concurrency: 1}
 	if l.Take(start, "b", one) != nil || l.Take(start, "b", one) == nil {
