--- a/internal/quota/damper.go
+++ b/internal/quota/damper.go
@@ -4,7 +4,7 @@
 
 // Damper delays increases of a share and applies decreases at once. Entries
 // compute shares from reports of different ages: if one raised its share before
-// the others received the reports behind it, the sum would exceed the limit.
+// the others received the reports that lower theirs, the sum would exceed the limit.
 type Damper struct {
 	// Delay is how long an increase is delayed: at least the age of the oldest report
 	// that any process still computes with.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota divides a limit that holds over all entries into shares, one
-// for each entry, without a central counter. Every control process computes
-// the same shares from the same reported demand.
+// Package quota divides a limit that holds over all entries into shares without a
+// central counter: first among failure domains, then among the entries of one.
+// Every control process computes the same shares from the same reported demand.
 package quota
 
 import (
@@ -8,33 +8,37 @@
 	"sort"
 )
 
-// demandHeadroom is the factor on a reported demand up to which an entry's share
-// is filled before entries with a higher demand get more. The margin above the
-// demand lets a rising demand show in the reports.
+// demandHeadroom is the factor by which Shares raises each reported demand before it
+// divides the limit. The margin lets a rising demand show in the reports.
 const demandHeadroom = 1.1
 
 // floorShare is the fraction of an equal share that an entry keeps without any
 // demand, so that its first requests are not refused.
 const floorShare = 0.02
 
-// Demand is the reported demand of one entry, in requests per second.
+// Demand is the reported demand of one entry or failure domain, in requests per second.
 type Demand struct {
+	// Entry is the ID of the entry or the name of the failure domain.
 	Entry string
 	Rate  float64
 }
 
-// UnknownRate is the rate of an unknown demand, which may be as high as the limit.
+// UnknownRate stands for an unknown demand, which may be as high as the limit. It is a
+// quarter of the largest float64, so that multiplied by demandHeadroom it is still finite.
 const UnknownRate = math.MaxFloat64 / 4
 
-// Floor returns the share that an entry may use while it receives reports of too
-// few other entries to compute a higher one.
+// Floor returns the minimum share of an entry if the limit is divided among the given
+// number of entries. Shares gives it to an entry without demand; it is also all that an
+// entry may use while a control process receives reports of too few others to compute a
+// higher share.
 func Floor(limit float64, entries int) float64 {
 	return limit / float64(max(entries, 1)) * floorShare
 }
 
 // Shares divides limit by max-min fairness (water-filling): no entry gets more
-// than its demand while the demand of another is unmet, and what exceeds all
-// demands is divided equally. The shares never add up to more than limit.
+// than its demand, raised by demandHeadroom and at least Floor, while that of
+// another is unmet. What exceeds all demands is divided equally. The shares never
+// add up to more than limit.
 func Shares(limit float64, demands []Demand) map[string]float64 {
 	out := make(map[string]float64, len(demands))
 	if len(demands) == 0 || limit <= 0 {
