--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -22,8 +22,9 @@
 	Window time.Duration
 }
 
-// windowsPerCredit is the number of windows whose repeats may use a credit. A credit is valid for
-// the length of one window, so repeats of a window may use credits earned in it and in the one before.
+// windowsPerCredit divides what each request and the fixed part earn. A credit is valid for the
+// length of one window, so the repeats of a window may use credits earned over two windows: that
+// window and the one before it.
 const windowsPerCredit = 2
 
 // Budget is this node's part of one service's budget, counted in credits. A request earns a fraction
@@ -70,8 +71,8 @@
 	Nodes int
 }
 
-// Take takes the credit for a repeat if there is one. nodes is the number of nodes that may use
-// the budget at once. While it is 0, which means unknown, the fixed part earns nothing.
+// Take takes one credit for a repeat if this node has one. nodes is the number of nodes that share
+// the fixed part. While it is 0, which means unknown, the fixed part earns nothing.
 func (b *Budget) Take(now time.Time, nodes int) Decision {
 	b.advance(now)
 	b.accrue(now, nodes)
@@ -87,7 +88,8 @@
 	return decision
 }
 
-// spend removes one credit, taking those first that expire first.
+// spend removes one credit: from those that requests earned, the oldest first because they expire
+// first, and then from the fixed part, which does not expire.
 func (b *Budget) spend() {
 	cost := 1.0
 	for i := int64(1); i <= buckets; i++ {
--- a/internal/retry/lives_test.go
+++ b/internal/retry/lives_test.go
@@ -90,7 +90,7 @@
 	return l.Ratio*float64(maxRequests) + l.Extra
 }
 
-// within returns the number of times after from and until to.
+// within returns how many of the times are after from and not after to.
 func within(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
