--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict defines whether an upstream may have run a failed or finished
-// request. Callers use the verdict to decide whether a retry is safe.
+// Package verdict defines the verdict on a failed or finished request, which states
+// whether an upstream may have run it. Callers use the verdict to decide whether a retry is safe.
 package verdict
 
 import (
@@ -23,7 +23,7 @@
 // Header is the HTTP header that carries the verdict to callers and between entries.
 const Header = "Marbleroad-Verdict"
 
-// String returns the wire form: not-run, may-have-run or ran.
+// String returns the wire form: not-run, may-have-run or ran; "unknown" for any other value.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
