--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -29,7 +29,8 @@
 	// MeanPrompt and MeanAnswer are the mean token counts of prompts and answers.
 	MeanPrompt float64
 	MeanAnswer float64
-	// Pace is a factor applied to all durations: below 1 is faster. Zero means 1.
+	// Pace is the factor that the platform publishes for the model. All durations are
+	// multiplied by it: below 1 is faster. Zero means 1.
 	Pace float64
 }
 
