--- a/internal/cluster/sharing_test.go
+++ b/internal/cluster/sharing_test.go
@@ -27,7 +27,7 @@
 
 // limitedVM is an upstream VM that reports a limit to the nodes that send to it, and these nodes.
 type limitedVM struct {
-	life  backpressure.Life
+	life  backpressure.Incarnation
 	limit float64
 	fleet *testFleet
 
@@ -64,7 +64,7 @@
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		for _, c := range s.GetConditions() {
-			table.Told(time.Now(), backpressure.Decode(c, at), true)
+			table.Merge(time.Now(), backpressure.Decode(c, at), true)
 		}
 	})
 }
@@ -82,13 +82,13 @@
 		return
 	case !known:
 		v.uninformed++
-	case table.Check(now, v.life, 0, func() backpressure.Sharing { return sharing }).Back:
+	case table.Check(now, v.life, 0, func() backpressure.Sharing { return sharing }).Throttled:
 		return
 	default:
-		table.Sent(now, v.life)
+		table.RecordSent(now, v.life)
 		v.arrivals = append(v.arrivals, now)
 	}
-	if table.Heard(now, now, v.life, backpressure.Notice{Limited: true, Limit: v.limit}) == backpressure.LimitNamed {
+	if table.Observe(now, now, v.life, backpressure.Signals{Limited: true, Limit: v.limit}) == backpressure.LimitSet {
 		n.TriggerExchange()
 	}
 }
@@ -131,7 +131,7 @@
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	f := newNodes(t, count)
-	v := &limitedVM{life: backpressure.Life{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: sharingOf}
+	v := &limitedVM{life: backpressure.Incarnation{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: sharingOf}
 	for i := range count {
 		v.attach(f.node(fmt.Sprintf("n%03d", i)))
 	}
