--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -136,7 +136,7 @@
 mutant "a head is opened though a member has left" internal/director/groups.go \
   's/case !gs\.incompleteSince\.IsZero\(\):\n\t\ts\.startDissolving.*?\n//' ./internal/director TestHeadOpenedAfterAMemberLeft
 mutant "a share rises at once" internal/quota/damper.go \
-  's/least = min\(least, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
+  's/minShare = min\(minShare, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
 mutant "the urgent wait behind the rest" internal/admission/queue.go \
   's/for p := priorities - 1; p >= 0; p--/for p := 0; p < priorities; p++/' ./test/policy/bench TestFlood
 mutant "operators need no token" internal/control/operator.go \
@@ -226,11 +226,11 @@
 mutant "a leave does not count as accepted" internal/director/answers.go \
   's/m\.started \|\| m\.order\.Operation == engine\.Leave/m.started/' ./internal/director TestLeaveCounts
 mutant "credits for repeats don't end" internal/retry/budget.go \
-  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsEndWithTheirWindow
+  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsExpireAfterOneWindow
 mutant "a request earns its whole ratio at once" internal/retry/budget.go \
-  's/b\.limit\.Ratio \/ spread/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
+  's/b\.limit\.Ratio \/ windowsPerCredit/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
 mutant "a new life has its fixed part at once" internal/retry/budget.go \
-  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestRepeatsOfManyLives
+  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestLimitHoldsAcrossRestarts
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
   's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
@@ -261,11 +261,11 @@
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestCrowdGetsItsAnswersInTime
 mutant "the offset is not learned" internal/batch/offset.go \
-  's/if took > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
+  's/if elapsed > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
 mutant "late requests are taken like others" internal/batch/admit.go \
-  's/return w\.InFlight < e\.Slots \&\& e\.First/return true || e.First/' ./internal/batch TestAdmit
+  's/return load\.InFlight < e\.Slots \&\& e\.TimeToFirstEvent/return true || e.TimeToFirstEvent/' ./internal/batch TestAdmit
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
-  's/r\.Kept \* float64/0 * float64/' ./internal/batch TestAdmit
+  's/r\.Reserved \* float64/0 * float64/' ./internal/batch TestAdmit
 mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
   's/return m\.usual - patience/return 0/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
@@ -380,7 +380,7 @@
 mutant "idle connections have no bound" internal/daemon/daemon.go \
   's/MaxIdleConns:        mostIdle,//' ./internal/daemon TestIdleConnectionsAreBounded
 mutant "heads are filled beyond their room" internal/spread/spread.go \
-  's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
+  's/return min\(max\(level-h\.remaining\(\), 0\), h\.headroom\(\)\)/return max(level-h.remaining(), 0)/' ./internal/spread TestSharesKeepToTheHeadroom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
   's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
@@ -420,7 +420,7 @@
 mutant "backpressure: what reports say is not heard" platform/engine.go \
   's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
 mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
-  's/, RestFilter\{\}//' ./internal/routing TestRestingUpstreamIsNotChosen
+  's/, BackoffFilter\{\}//' ./internal/routing TestBackingOffUpstreamIsNotChosen
 mutant "an entry that is written late counts as the newest word" internal/director/watch.go \
   's/ \|\| v\.isEntryOutdated\(vm\.Membership\)//' ./internal/director TestEntryOfAFormerGroupFreesNoVM
 mutant "a group is known by its members' entries alone" internal/director/groups.go \
