--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -80,24 +80,24 @@
 	nodes.SetQuarantine(quarantine.NewGossip(suspects, b.log))
 	archive := quarantine.NewArchive(suspects, store, b.log, leader.Reads, clock.Now)
 	server = gateway.NewServer(b.gatewayConfig(), gateway.Parts{
-		Log:        b.log,
-		Metrics:    b.metrics,
-		Tracer:     b.tracer,
-		Keeper:     keeper,
-		Directory:  directory,
-		Caller:     platform.Caller{},
-		Upstream:   platform.Upstream{},
-		Nodes:      nodes.KnownSize,
-		LiveFor:    nodes.LivenessTimeout,
-		Suspect:    func(group string, generation uint64) { groups.Suspect(group, generation) },
-		Sharing:    func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
-		StepDown:   func() { groups.StepDown() },
-		Dissolving: func() []string { return groups.Dissolving() },
-		Nudge:      nodes.TriggerExchange,
-		Quarantine: suspects,
+		Log:             b.log,
+		Metrics:         b.metrics,
+		Tracer:          b.tracer,
+		Catalog:         keeper,
+		Directory:       directory,
+		Caller:          platform.Caller{},
+		Upstream:        platform.Upstream{},
+		Nodes:           nodes.KnownSize,
+		StateTTL:        nodes.LivenessTimeout,
+		Suspect:         func(group string, generation uint64) { groups.Suspect(group, generation) },
+		Sharing:         func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
+		StepDown:        func() { groups.StepDown() },
+		Dissolving:      func() []string { return groups.Dissolving() },
+		TriggerExchange: nodes.TriggerExchange,
+		Quarantine:      suspects,
 	})
 	engines := platform.NewEngine(newTransport(s.Cluster.Listen, reportIdle, &b.peers.Traffic.Upstreams))
-	engines.OnCondition(server.HearVM)
+	engines.OnCondition(server.ObserveVM)
 	groups = director.New(director.Config{
 		NodeID:        s.Node.ID,
 		FailureDomain: s.Node.FailureDomain,
@@ -113,7 +113,7 @@
 		Nodes:    nodes,
 		Demand:   server,
 	})
-	nodes.OnPeer(server.Hear)
+	nodes.OnPeer(server.ReceiveState)
 	nodes.ServeFeed(&feed.Server{Directory: directory, Cache: keeper})
 	keeper.OnChange(server.Rebuild)
 	keeper.OnReturn(archive.Refresh)
@@ -138,7 +138,7 @@
 			startup.Requirement{Name: "configuration", Met: func() bool { return keeper.Catalog() != nil }},
 			startup.Requirement{Name: "upstreams", Met: func() bool { return directory.Snapshot() != nil }},
 			startup.Requirement{Name: "nodes", Met: func() bool { return nodes.KnownSize() > 0 }},
-			startup.Requirement{Name: "keys", Met: server.KeysProven},
+			startup.Requirement{Name: "keys", Met: server.KeysVerified},
 			startup.Requirement{Name: "groups", Met: server.HasGroups},
 		),
 		operators,
@@ -178,7 +178,7 @@
 		BalancerDelay: s.Gateway.BalancerDelay,
 		ShutdownLimit: s.Gateway.StopGrace - s.Gateway.BalancerDelay - stopMargin,
 		Linger:        s.Gateway.Linger,
-		KeyProof:      proof,
+		RevokeBound:   proof,
 		Repeats: retry.Limit{
 			Ratio:  s.Gateway.RepeatRatio,
 			Extra:  s.Gateway.RepeatExtra,
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -15,132 +15,134 @@
 	"github.com/marbleroad/marbleroad/internal/retry"
 )
 
-// The figures of the replayed load: some nodes before a few engines that read
-// prompts between the passes in which they write, callers with prompts of very
-// different lengths, and one return of those that were turned away.
+// Parameters of the simulated load: some nodes in front of a few engines that read prompts between the
+// passes in which they write, callers with prompts of very different lengths, and one retry of each
+// rejected call.
 const (
-	crowdStride   = 5
-	crowdPatience = 6 * time.Second
-	crowdExchange = 300 * time.Millisecond
-	// crowdCalm is how long callers come as usual before the crowd does.
-	crowdCalm   = 10 * time.Second
-	crowdWarm   = 4 * time.Second
-	crowdLength = 12 * time.Second
+	burstStride   = 5
+	burstTimeout  = 6 * time.Second
+	burstExchange = 300 * time.Millisecond
+	// steadyPhase is the time with the steady rate before the burst.
+	steadyPhase = 10 * time.Second
+	burstWarmUp = 4 * time.Second
+	burstLength = 12 * time.Second
 )
 
-// crowdSite is where a crowd comes.
-type crowdSite struct {
+// burstSite holds the parameters of a simulated deployment.
+type burstSite struct {
 	nodes, heads int
-	// usual is how many callers come a second before the crowd.
-	usual  float64
-	engine catalog.Engine
-	aim    time.Duration
-	// constant is what each first event takes beyond what engines publish.
-	constant time.Duration
-	// patience is by how much callers' patience differs.
-	patience time.Duration
-	// delay is how old what a node tells is when the others hear it; with it, they hear a sum.
-	delay time.Duration
+	// steadyRate is the number of callers per second before the burst.
+	steadyRate float64
+	engine     catalog.Engine
+	objective  time.Duration
+	// eventDelay is the delay of each event beyond the published figures of the engine.
+	eventDelay time.Duration
+	// timeoutSpread is the range over which the timeouts of callers vary.
+	timeoutSpread time.Duration
+	// stateDelay is the age of a node's state when the others receive it. If it is set, they receive an
+	// aggregate.
+	stateDelay time.Duration
 }
 
-// fewNodes exchange with each other.
-var fewNodes = crowdSite{nodes: 7, heads: 8, usual: 60, aim: 500 * time.Millisecond, constant: 120 * time.Millisecond, engine: catalog.Engine{
-	Slots: 26, StepTime: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, Stride: crowdStride,
+// fewNodes exchange states directly.
+var fewNodes = burstSite{nodes: 7, heads: 8, steadyRate: 60, objective: 500 * time.Millisecond, eventDelay: 120 * time.Millisecond, engine: catalog.Engine{
+	Slots: 26, StepTime: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, Stride: burstStride,
 	ReadPerSecond: 46000, UsualPrompt: 1600, UsualAnswer: 110, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
 }}
 
-// manyNodes have hubs, and each sends few requests.
-var manyNodes = crowdSite{nodes: 89, heads: 15, usual: 180, aim: 300 * time.Millisecond, constant: 93 * time.Millisecond, delay: 450 * time.Millisecond, engine: catalog.Engine{
-	Slots: 48, StepTime: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: crowdStride,
+// manyNodes exchange states through hubs, and each sends few requests.
+var manyNodes = burstSite{nodes: 89, heads: 15, steadyRate: 180, objective: 300 * time.Millisecond, eventDelay: 93 * time.Millisecond, stateDelay: 450 * time.Millisecond, engine: catalog.Engine{
+	Slots: 48, StepTime: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: burstStride,
 	ReadPerSecond: 56000, UsualPrompt: 900, UsualAnswer: 150, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
 }}
 
-// crowdCall is one caller's request.
-type crowdCall struct {
-	call    *Call
-	first   time.Time // of the caller's first try
-	wait    time.Duration
-	answer  int
-	written int
-	read    bool
-	board   *board
-	send    *send
+// burstCall is the request of one caller.
+type burstCall struct {
+	call           *Call
+	firstAttempt   time.Time // time of the first attempt
+	timeout        time.Duration
+	responseTokens int
+	writtenTokens  int
+	promptRead     bool
+	table          *targetTable
+	send           *send
 }
 
-// crowdHead is one engine: it takes requests in order of arrival into its slots.
-type crowdHead struct {
+// burstHead simulates one engine: it takes requests in order of arrival into its slots.
+type burstHead struct {
 	vm      string
-	waiting []*crowdCall
-	running []*crowdCall
+	waiting []*burstCall
+	running []*burstCall
 	busy    bool
 }
 
-// crowd plays a load in virtual time against the decisions of several nodes.
-type crowd struct {
-	now    time.Time
-	random *rand.Rand
-	events crowdEvents
-	boards []*board
-	server []*Server
-	heads  map[string]*crowdHead
-	site   crowdSite
-	engine *catalog.Engine
-	number int
-
-	// from is when measuring begins.
-	from         time.Time
+// burstSimulation simulates a load, with a simulated clock, against the choices of several nodes.
+type burstSimulation struct {
+	now        time.Time
+	random     *rand.Rand
+	events     simEvents
+	tables     []*targetTable
+	servers    []*Server
+	heads      map[string]*burstHead
+	site       burstSite
+	engine     *catalog.Engine
+	eventCount int
+
+	// measureFrom is the start of the measurement.
+	measureFrom  time.Time
 	inTime, late int
-	// returned counts the callers that were turned away and came back, refused
-	// those that were turned away again.
-	returned, refused int
+	// retried counts the callers that were rejected and retried, rejectedTwice those whose retry was
+	// rejected too.
+	retried, rejectedTwice int
 }
 
-// crowdEvent is what happens at a time; number keeps the order of equal times.
-type crowdEvent struct {
-	at     time.Time
-	number int
-	do     func()
+// simEvent is an event of the simulation. sequence orders events at the same time.
+type simEvent struct {
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-type crowdEvents []crowdEvent
+type simEvents []simEvent
 
 // Len implements heap.Interface.
-func (e crowdEvents) Len() int { return len(e) }
+func (e simEvents) Len() int { return len(e) }
 
 // Less implements heap.Interface.
-func (e crowdEvents) Less(i, k int) bool {
+func (e simEvents) Less(i, k int) bool {
 	if e[i].at.Equal(e[k].at) {
-		return e[i].number < e[k].number
+		return e[i].sequence < e[k].sequence
 	}
 	return e[i].at.Before(e[k].at)
 }
 
 // Swap implements heap.Interface.
-func (e crowdEvents) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
+func (e simEvents) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
 
 // Push implements heap.Interface.
-func (e *crowdEvents) Push(x any) { *e = append(*e, x.(crowdEvent)) }
+func (e *simEvents) Push(x any) { *e = append(*e, x.(simEvent)) }
 
 // Pop implements heap.Interface.
-func (e *crowdEvents) Pop() any {
+func (e *simEvents) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return last
 }
 
-func (c *crowd) after(d time.Duration, do func()) {
-	c.number++
-	heap.Push(&c.events, crowdEvent{at: c.now.Add(d), number: c.number, do: do})
+func (c *burstSimulation) schedule(d time.Duration, do func()) {
+	c.eventCount++
+	heap.Push(&c.events, simEvent{at: c.now.Add(d), sequence: c.eventCount, run: do})
 }
 
-// newCrowd has all heads open. shown is what the nodes are told of the engines.
-func newCrowd(t *testing.T, site crowdSite, shown *catalog.Engine) *crowd {
+// newBurst returns a simulation with all heads open. published holds the engine figures that the nodes
+// use.
+func newBurst(t *testing.T, site burstSite, published *catalog.Engine) *burstSimulation {
 	t.Helper()
 	start := time.Unix(1_000_000, 0)
-	c := &crowd{now: start, random: rand.New(rand.NewPCG(7, 11)), heads: make(map[string]*crowdHead), site: site, engine: &site.engine}
-	route := catalog.Route{Name: "r", Prefix: "/a/", Objective: site.aim, Targets: []catalog.Target{{Service: "s", Weight: 1}}}
-	current, err := catalog.New(catalog.Content{Version: 1, Routes: []catalog.Route{route}, Services: []catalog.Service{{Name: "s", Engine: shown}}})
+	c := &burstSimulation{now: start, random: rand.New(rand.NewPCG(7, 11)), heads: make(map[string]*burstHead), site: site, engine: &site.engine}
+	route := catalog.Route{Name: "r", Prefix: "/a/", Objective: site.objective, Targets: []catalog.Target{{Service: "s", Weight: 1}}}
+	current, err := catalog.New(catalog.Content{Version: 1, Routes: []catalog.Route{route}, Services: []catalog.Service{{Name: "s", Engine: published}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,119 +151,120 @@
 		id := fmt.Sprintf("vm%d", i)
 		vms[id] = &fleet.VM{ID: id, Service: "s", FailureDomain: "x",
 			Membership: fleet.Membership{Group: "g" + id, Generation: 1, State: fleet.Open, Model: "m"}}
-		c.heads[id] = &crowdHead{vm: id}
+		c.heads[id] = &burstHead{vm: id}
 	}
 	for i := range site.nodes {
-		b := newBoard("x", retry.Limit{Window: time.Second}, noneDissolving, start)
-		b.random = rand.New(rand.NewPCG(uint64(i), 1))
-		b.rebuild(current, fleet.NewSnapshot(vms, 1, start))
-		// The fleet is a map; the play shall be the same each time.
-		slices.SortFunc(b.pools["s"].heads["m"], func(x, y *target) int { return strings.Compare(x.vm.ID, y.vm.ID) })
-		c.boards = append(c.boards, b)
-		c.server = append(c.server, &Server{board: b})
-		if site.delay == 0 {
-			c.after(time.Duration(i)*crowdExchange/time.Duration(site.nodes), func() { c.exchange(i) })
+		tt := newTargetTable("x", retry.Limit{Window: time.Second}, noneDissolving, start)
+		tt.random = rand.New(rand.NewPCG(uint64(i), 1))
+		tt.rebuild(current, fleet.NewSnapshot(vms, 1, start))
+		// The fleet is a map; sorting makes the simulation deterministic.
+		slices.SortFunc(tt.pools["s"].heads["m"], func(x, y *target) int { return strings.Compare(x.vm.ID, y.vm.ID) })
+		c.tables = append(c.tables, tt)
+		c.servers = append(c.servers, &Server{targets: tt})
+		if site.stateDelay == 0 {
+			c.schedule(time.Duration(i)*burstExchange/time.Duration(site.nodes), func() { c.exchange(i) })
 		}
 	}
-	if site.delay > 0 {
-		c.sumUp()
+	if site.stateDelay > 0 {
+		c.aggregateStates()
 	}
 	return c
 }
 
-// sumUp has all nodes hear the sum of what the others told some time before, each interval.
-func (c *crowd) sumUp() {
+// aggregateStates sends all nodes an aggregate of the others' states after a delay, once per interval.
+func (c *burstSimulation) aggregateStates() {
 	all := make(map[string]uint32)
 	arrivals := 0.0
-	var own []map[string]uint32
-	var came []float64
-	for i, b := range c.boards {
+	var localLoads []map[string]uint32
+	var arrivalsOf []float64
+	for i, tt := range c.tables {
 		state := &marbleroadv1.NodeState{Node: fmt.Sprint(i), FailureDomain: "x"}
-		b.state(c.now, state)
+		tt.fillState(c.now, state)
 		loads := make(map[string]uint32)
 		for _, l := range state.GetLoads() {
 			loads[l.GetGroup()] = l.GetInFlight()
 			all[l.GetGroup()] += l.GetInFlight()
 		}
-		own = append(own, loads)
-		came = append(came, 0)
+		localLoads = append(localLoads, loads)
+		arrivalsOf = append(arrivalsOf, 0)
 		for _, d := range state.GetDemand() {
-			came[i] += d.GetArrivals()
+			arrivalsOf[i] += d.GetArrivals()
 			arrivals += d.GetArrivals()
 		}
 	}
-	told := c.now
-	c.after(c.site.delay, func() {
-		for i, b := range c.boards {
+	sentAt := c.now
+	c.schedule(c.site.stateDelay, func() {
+		for i, tt := range c.tables {
 			sum := &marbleroadv1.NodeState{Node: "others", FailureDomain: "x", Summed: uint32(c.site.nodes - 1)}
 			for group, n := range all {
-				sum.Loads = append(sum.Loads, &marbleroadv1.GroupLoad{Group: group, InFlight: n - own[i][group]})
+				sum.Loads = append(sum.Loads, &marbleroadv1.GroupLoad{Group: group, InFlight: n - localLoads[i][group]})
 			}
-			sum.Demand = []*marbleroadv1.ModelDemand{{Service: "s", Model: "m", Arrivals: arrivals - came[i]}}
-			b.hear(c.now, sum, told, 2*time.Second)
+			sum.Demand = []*marbleroadv1.ModelDemand{{Service: "s", Model: "m", Arrivals: arrivals - arrivalsOf[i]}}
+			tt.receiveState(c.now, sum, sentAt, 2*time.Second)
 		}
 	})
-	c.after(crowdExchange, c.sumUp)
+	c.schedule(burstExchange, c.aggregateStates)
 }
 
-// exchange has one node tell the others its state, each interval.
-func (c *crowd) exchange(node int) {
+// exchange sends the state of one node to the others, once per interval.
+func (c *burstSimulation) exchange(node int) {
 	state := &marbleroadv1.NodeState{Node: fmt.Sprint(node), FailureDomain: "x"}
-	c.boards[node].state(c.now, state)
-	for i, b := range c.boards {
+	c.tables[node].fillState(c.now, state)
+	for i, tt := range c.tables {
 		if i != node {
-			b.hear(c.now, state, c.now, time.Second)
+			tt.receiveState(c.now, state, c.now, time.Second)
 		}
 	}
-	c.after(crowdExchange, func() { c.exchange(node) })
+	c.schedule(burstExchange, func() { c.exchange(node) })
 }
 
-// arrive has callers come at a rate a second.
-func (c *crowd) arrive(rate float64, until time.Time) {
+// sendCalls generates callers at the given rate per second.
+func (c *burstSimulation) sendCalls(rate float64, until time.Time) {
 	if c.now.After(until) {
 		return
 	}
-	one := &crowdCall{
-		first:  c.now,
-		wait:   crowdPatience - time.Duration(c.random.Float64()*float64(c.site.patience)),
-		answer: 1 + int(c.random.ExpFloat64()*c.engine.UsualAnswer),
-		call: &Call{Service: "s", Model: "m", Patience: crowdPatience, Route: &catalog.Route{Name: "r", Objective: c.site.aim},
+	one := &burstCall{
+		firstAttempt:   c.now,
+		timeout:        burstTimeout - time.Duration(c.random.Float64()*float64(c.site.timeoutSpread)),
+		responseTokens: 1 + int(c.random.ExpFloat64()*c.engine.UsualAnswer),
+		call: &Call{Service: "s", Model: "m", CallerTimeout: burstTimeout, Route: &catalog.Route{Name: "r", Objective: c.site.objective},
 			PromptTokens: 40 + int(min(c.random.ExpFloat64(), 4)*c.engine.UsualPrompt)},
 	}
-	c.offer(one)
-	c.after(time.Duration(c.random.ExpFloat64()/rate*float64(time.Second)), func() { c.arrive(rate, until) })
+	c.deliver(one)
+	c.schedule(time.Duration(c.random.ExpFloat64()/rate*float64(time.Second)), func() { c.sendCalls(rate, until) })
 }
 
-// offer brings a call to some node; one that is turned away comes back once.
-func (c *crowd) offer(one *crowdCall) {
+// deliver sends a call to a random node. A rejected call is retried once.
+func (c *burstSimulation) deliver(one *burstCall) {
 	node := c.random.IntN(c.site.nodes)
-	b := c.boards[node]
+	tt := c.tables[node]
 	call := *one.call
 	call.Arrived = c.now
-	call.Patience = one.wait - c.now.Sub(one.first)
-	b.count(c.now, &call)
-	call.Waited = b.waited(c.now, &call)
+	call.CallerTimeout = one.timeout - c.now.Sub(one.firstAttempt)
+	tt.recordRequest(c.now, &call)
+	call.Waited = tt.waitedBefore(c.now, &call)
 	const room = 5
-	s, _, why := b.choose(c.now, &call, nil, room, false, func(error) {})
-	if why != admitted {
-		if one.first.Before(c.now) {
-			c.refused++
+	s, _, reason := tt.choose(c.now, &call, nil, room, false, func(error) {})
+	if reason != admitted {
+		if one.firstAttempt.Before(c.now) {
+			c.rejectedTwice++
 			return
 		}
-		c.returned++
-		c.after(c.server[node].comeBack(&call, why), func() { c.offer(one) })
+		c.retried++
+		c.schedule(c.servers[node].retryAfter(&call, reason), func() { c.deliver(one) })
 		return
 	}
-	one.board, one.send = b, s
+	one.table, one.send = tt, s
 	head := c.heads[s.vm.ID]
 	head.waiting = append(head.waiting, one)
 	if !head.busy {
-		c.pass(head)
+		c.runPass(head)
 	}
 }
 
-// pass plays one pass of a head: it writes for those that were read, and reads.
-func (c *crowd) pass(h *crowdHead) {
+// runPass simulates one pass of a head: it writes for requests whose prompt is read, and reads the other
+// prompts.
+func (c *burstSimulation) runPass(h *burstHead) {
 	for len(h.waiting) > 0 && len(h.running) < c.engine.Slots {
 		h.running = append(h.running, h.waiting[0])
 		h.waiting = h.waiting[1:]
@@ -272,170 +275,170 @@
 	}
 	writers, prompts := 0, 0
 	for _, one := range h.running {
-		if one.read {
+		if one.promptRead {
 			writers++
 		} else {
 			prompts += one.call.PromptTokens
 		}
 	}
 	step := c.engine.StepTime + time.Duration(writers)*c.engine.PerSequence
-	length := crowdStride*step + time.Duration(float64(prompts)/c.engine.ReadPerSecond*float64(time.Second))
-	c.after(length, func() { c.passed(h) })
+	length := burstStride*step + time.Duration(float64(prompts)/c.engine.ReadPerSecond*float64(time.Second))
+	c.schedule(length, func() { c.finishPass(h) })
 }
 
-func (c *crowd) passed(h *crowdHead) {
-	var rest []*crowdCall
+func (c *burstSimulation) finishPass(h *burstHead) {
+	var unfinished []*burstCall
 	for _, one := range h.running {
 		switch {
-		case !one.read:
-			one.read = true
-			c.after(c.site.constant, func() { c.began(one) })
-		case one.written == 0:
-			one.written += crowdStride
+		case !one.promptRead:
+			one.promptRead = true
+			c.schedule(c.site.eventDelay, func() { c.recordFirstEvent(one) })
+		case one.writtenTokens == 0:
+			one.writtenTokens += burstStride
 		default:
-			one.written += crowdStride
-			c.after(c.site.constant, func() { one.board.heard(c.now, one.send) })
+			one.writtenTokens += burstStride
+			c.schedule(c.site.eventDelay, func() { one.table.recordEvent(c.now, one.send) })
 		}
-		if one.written < one.answer {
-			rest = append(rest, one)
+		if one.writtenTokens < one.responseTokens {
+			unfinished = append(unfinished, one)
 			continue
 		}
-		c.after(c.site.constant, func() {
-			one.board.succeeded(one.send, c.now.Sub(one.send.sentAt))
-			one.board.finish(one.send)
+		c.schedule(c.site.eventDelay, func() {
+			one.table.recordSuccess(one.send, c.now.Sub(one.send.sentAt))
+			one.table.finish(one.send)
 		})
 	}
-	h.running = rest
-	c.pass(h)
+	h.running = unfinished
+	c.runPass(h)
 }
 
-// began notes a first event.
-func (c *crowd) began(one *crowdCall) {
-	one.board.heard(c.now, one.send)
-	if one.first.Before(c.from) {
+// recordFirstEvent records the first event of a call.
+func (c *burstSimulation) recordFirstEvent(one *burstCall) {
+	one.table.recordEvent(c.now, one.send)
+	if one.firstAttempt.Before(c.measureFrom) {
 		return
 	}
-	if c.now.Sub(one.first) <= c.site.aim {
+	if c.now.Sub(one.firstAttempt) <= c.site.objective {
 		c.inTime++
 	} else {
 		c.late++
 	}
 }
 
-// until lets time pass.
-func (c *crowd) until(end time.Time) {
+// advance runs the events up to the given time.
+func (c *burstSimulation) advance(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
-		next := heap.Pop(&c.events).(crowdEvent)
+		next := heap.Pop(&c.events).(simEvent)
 		c.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-// play returns how many answers a second came in time, and how many late.
-func (c *crowd) play(rate float64) (inTime, late float64) {
-	end := c.now.Add(crowdCalm + crowdLength)
-	c.from = c.now.Add(crowdCalm + crowdWarm)
-	c.arrive(c.site.usual, c.now.Add(crowdCalm))
-	c.after(crowdCalm, func() { c.arrive(rate, end) })
-	c.until(end)
-	measured := (crowdLength - crowdWarm).Seconds()
+// run returns how many responses per second were in time, and how many late.
+func (c *burstSimulation) run(rate float64) (inTime, late float64) {
+	end := c.now.Add(steadyPhase + burstLength)
+	c.measureFrom = c.now.Add(steadyPhase + burstWarmUp)
+	c.sendCalls(c.site.steadyRate, c.now.Add(steadyPhase))
+	c.schedule(steadyPhase, func() { c.sendCalls(rate, end) })
+	c.advance(end)
+	measured := (burstLength - burstWarmUp).Seconds()
 	return float64(c.inTime) / measured, float64(c.late) / measured
 }
 
-// TestCrowdAtManyNodes replays a burst before 89 nodes, each of which sends few requests and hears of
-// the others' half a second late. Each sent to the head with the least known load, as all others did,
-// and took what seemed to fit: with half as many callers again as can be served, 13 a second had their
-// answers in time and 225 late, with three times as many 3 and 142, where one node alone gets 270 in time.
-// On a played day, requests for which a first event was predicted after 400 ms and more (6,242) got
-// it after 188 ms, those with 200 to 250 ms after 493 ms, and one line had heads of 48 slots with
+// TestBurstAtManyNodes simulates a burst at 89 nodes, each of which sends few requests and receives the
+// others' states half a second late. Each node chose the head with the lowest known load, as all others
+// did, and sent what seemed to fit. With 1.5 times as many callers as can be served, 13 responses per
+// second were in time and 225 late, with three times as many 3 and 142, while a single node gets 270 in
+// time. In a simulated day, requests with a predicted first event after 400 ms and more (6,242) got it
+// after 188 ms, and those with 200 to 250 ms after 493 ms. One log line showed heads of 48 slots with
+// these loads:
 //
 //	111, 103, 80 ... 17
-func TestCrowdAtManyNodes(t *testing.T) {
+func TestBurstAtManyNodes(t *testing.T) {
 	best := 0.0
 	for _, rate := range []float64{150, 200, 250, 300, 450, 600, 900} {
-		c := newCrowd(t, manyNodes, &manyNodes.engine)
-		inTime, late := c.play(rate)
-		t.Logf("%.0f a second: %.1f in time, %.1f late", rate, inTime, late)
+		c := newBurst(t, manyNodes, &manyNodes.engine)
+		inTime, late := c.run(rate)
+		t.Logf("%.0f per second: %.1f in time, %.1f late", rate, inTime, late)
 		best = max(best, inTime)
 		if inTime < 0.85*best {
-			t.Errorf("%.0f callers a second: %.1f in time, where fewer callers got %.1f", rate, inTime, best)
+			t.Errorf("%.0f callers per second: %.1f in time, %.1f with fewer callers", rate, inTime, best)
 		}
 		if late > 0.2*inTime {
-			t.Errorf("%.0f callers a second: %.1f late beside %.1f in time", rate, late, inTime)
+			t.Errorf("%.0f callers per second: %.1f late and %.1f in time", rate, late, inTime)
 		}
 	}
 }
 
-// TestCrowdThatComesBack replays a burst whose callers differ in how long they wait, so that most of
-// those that come back look like new ones. They came back within 0.3 s, into the same crowd, and took the
-// places of callers that could be in time: 139 a second in time beside 113 late.
-func TestCrowdThatComesBack(t *testing.T) {
+// TestBurstWithRetries simulates a burst of callers with varying timeouts, so that most retries look like
+// first attempts. Rejected callers retried within 0.3 s, into the same burst, and took the slots of
+// callers that could be in time: 139 responses per second were in time and 113 late.
+func TestBurstWithRetries(t *testing.T) {
 	site := manyNodes
-	site.patience = 900 * time.Millisecond
+	site.timeoutSpread = 900 * time.Millisecond
 	for _, rate := range []float64{450, 900} {
-		c := newCrowd(t, site, &site.engine)
-		inTime, late := c.play(rate)
-		t.Logf("%.0f a second: %.1f in time, %.1f late; %d came back, %d again in vain", rate, inTime, late, c.returned, c.refused)
+		c := newBurst(t, site, &site.engine)
+		inTime, late := c.run(rate)
+		t.Logf("%.0f per second: %.1f in time, %.1f late; %d retried, %d rejected again", rate, inTime, late, c.retried, c.rejectedTwice)
 		if late > 0.3*inTime {
-			t.Errorf("%.0f callers a second: %.1f late beside %.1f in time", rate, late, inTime)
+			t.Errorf("%.0f callers per second: %.1f late and %.1f in time", rate, late, inTime)
 		}
 	}
 }
 
-// TestCrowdThatEnds: after a crowd, callers that are turned away for a moment come back soon.
-func TestCrowdThatEnds(t *testing.T) {
-	c := newCrowd(t, manyNodes, &manyNodes.engine)
-	c.play(900)
+// TestRejectionsEndAfterBurst: after a burst, callers that are rejected for a moment must retry soon.
+func TestRejectionsEndAfterBurst(t *testing.T) {
+	c := newBurst(t, manyNodes, &manyNodes.engine)
+	c.run(900)
 	key := demandKey{"s", "m"}
-	crowded := 0
-	for _, b := range c.boards {
-		if b.demand[key].away > 0.3 {
-			crowded++
+	overloaded := 0
+	for _, tt := range c.tables {
+		if tt.demand[key].rejectedShare > 0.3 {
+			overloaded++
 		}
 	}
-	if crowded < manyNodes.nodes/2 {
-		t.Fatalf("%d nodes turn a third away in the crowd: the replayed load shows nothing", crowded)
+	if overloaded < manyNodes.nodes/2 {
+		t.Fatalf("%d nodes reject a third in the burst: the simulated load is too low for this test", overloaded)
 	}
 	end := c.now.Add(20 * time.Second)
-	c.arrive(c.site.usual/4, end)
-	c.until(end)
-	for i, b := range c.boards {
-		if away := b.demand[key].away; away > 0 {
-			t.Errorf("node %d still counts on %.0f in 100 being turned away", i, 100*away)
+	c.sendCalls(c.site.steadyRate/4, end)
+	c.advance(end)
+	for i, tt := range c.tables {
+		if rejected := tt.demand[key].rejectedShare; rejected > 0 {
+			t.Errorf("node %d still expects to reject %.0f %%", i, 100*rejected)
 		}
 	}
 }
 
-// crowdRates are callers a second: what the heads serve well, a little more, and two
-// and three times as many.
-var crowdRates = []float64{90, 110, 200, 300}
+// burstRates are rates of callers per second: what the heads serve well, slightly more, and two and three
+// times as many.
+var burstRates = []float64{90, 110, 200, 300}
 
-// TestCrowdGetsItsAnswersInTime replays a burst: with more callers than can be served,
-// as many get their answers in time as at the best load.
-func TestCrowdGetsItsAnswersInTime(t *testing.T) {
+// TestBurstIsServedInTime simulates a burst: with more callers than can be served, as many responses must
+// be in time as at the best load.
+func TestBurstIsServedInTime(t *testing.T) {
 	best := 0.0
-	for _, rate := range crowdRates {
-		c := newCrowd(t, fewNodes, &fewNodes.engine)
-		inTime, late := c.play(rate)
-		t.Logf("%.0f a second: %.1f in time, %.1f late", rate, inTime, late)
+	for _, rate := range burstRates {
+		c := newBurst(t, fewNodes, &fewNodes.engine)
+		inTime, late := c.run(rate)
+		t.Logf("%.0f per second: %.1f in time, %.1f late", rate, inTime, late)
 		best = max(best, inTime)
 		if inTime < 0.85*best {
-			t.Errorf("%.0f callers a second: %.1f in time, where fewer callers got %.1f", rate, inTime, best)
+			t.Errorf("%.0f callers per second: %.1f in time, %.1f with fewer callers", rate, inTime, best)
 		}
 		if late > 0.3*inTime {
-			t.Errorf("%.0f callers a second: %.1f late beside %.1f in time", rate, late, inTime)
+			t.Errorf("%.0f callers per second: %.1f late and %.1f in time", rate, late, inTime)
 		}
 	}
 }
 
-// TestCrowdWithoutFiguresIsServedLate shows what the prediction is worth: where an
-// engine does not say how fast it reads, requests are counted beside the slots, and a
-// crowd gets most of its answers late.
-func TestCrowdWithoutFiguresIsServedLate(t *testing.T) {
-	silent := fewNodes.engine
-	silent.ReadPerSecond = 0
-	c := newCrowd(t, fewNodes, &silent)
-	if inTime, late := c.play(crowdRates[2]); inTime > late {
-		t.Errorf("%.1f in time and %.1f late without a prediction: the replayed load shows nothing", inTime, late)
+// TestBurstWithoutEngineFiguresIsServedLate shows the effect of the prediction: if the engine publishes no
+// reading speed, requests are compared with the slots only, and most responses in a burst are late.
+func TestBurstWithoutEngineFiguresIsServedLate(t *testing.T) {
+	unpublished := fewNodes.engine
+	unpublished.ReadPerSecond = 0
+	c := newBurst(t, fewNodes, &unpublished)
+	if inTime, late := c.run(burstRates[2]); inTime > late {
+		t.Errorf("%.1f in time and %.1f late without a prediction: the simulated load is too low for this test", inTime, late)
 	}
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -13,66 +13,67 @@
 	"github.com/marbleroad/marbleroad/internal/fleet"
 )
 
-// endedFor is how long one look at a VM answers for: streams of one that ends break off
-// within some milliseconds, and one that starts again takes seconds.
-const endedFor = 40 * time.Millisecond
+// portCheckTTL is how long the result of a port check is reused. The streams of a terminating VM break
+// within some milliseconds, while a restart takes seconds.
+const portCheckTTL = 40 * time.Millisecond
 
-// endings finds out whether an upstream VM has ended. An answer that breaks off does not
-// say so: links are reset, and sick upstreams break off single answers. A closed port does.
-type endings struct {
+// portChecker finds out whether an upstream VM has terminated. A truncated response does not show that:
+// links are reset, and unhealthy upstreams truncate single responses. A closed port does.
+type portChecker struct {
 	dialer *net.Dialer
 
-	mu    sync.Mutex
-	looks map[string]*look
+	mu     sync.Mutex
+	checks map[string]*portCheck
 }
 
-// look is one connection tried to a VM's address.
-type look struct {
-	at    time.Time
-	done  chan struct{}
-	ended bool
+// portCheck is one attempt to connect to a VM.
+type portCheck struct {
+	startedAt time.Time
+	done      chan struct{}
+	closed    bool
 }
 
-func newEndings(dialer *net.Dialer) *endings {
-	return &endings{dialer: dialer, looks: make(map[string]*look)}
+func newPortChecker(dialer *net.Dialer) *portChecker {
+	return &portChecker{dialer: dialer, checks: make(map[string]*portCheck)}
 }
 
-// ended reports whether the VM's port is closed. It takes a round trip, or the dialer's
-// timeout when nothing answers, which proves nothing. Looks at the same time share one.
-func (e *endings) ended(ctx context.Context, vm *fleet.VM) bool {
-	l, first := e.look(clock.Now(), vm.Address)
+// closed reports whether the port of the VM is closed. It takes a round trip, or the timeout of the dialer
+// if nothing responds, which is no evidence that the VM terminated. Concurrent checks of the same address
+// share one connection attempt.
+func (pc *portChecker) closed(ctx context.Context, vm *fleet.VM) bool {
+	c, first := pc.check(clock.Now(), vm.Address)
 	if first {
-		// Not the request's context: others may wait for the same look.
-		l.ended = e.refused(context.WithoutCancel(ctx), vm.Address)
-		close(l.done)
+		// The check must outlive this request, since others may wait for it.
+		c.closed = pc.connectionRefused(context.WithoutCancel(ctx), vm.Address)
+		close(c.done)
 	}
 	select {
-	case <-l.done:
-		return l.ended
+	case <-c.done:
+		return c.closed
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// look returns the newest look at an address; first is true when it has yet to be taken.
-func (e *endings) look(now time.Time, address string) (l *look, first bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for a, old := range e.looks {
-		if now.Sub(old.at) > endedFor {
-			delete(e.looks, a)
+// check returns the latest check of an address. first is true if the caller must perform it.
+func (pc *portChecker) check(now time.Time, address string) (c *portCheck, first bool) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	for addr, existing := range pc.checks {
+		if now.Sub(existing.startedAt) > portCheckTTL {
+			delete(pc.checks, addr)
 		}
 	}
-	if old := e.looks[address]; old != nil {
-		return old, false
+	if existing := pc.checks[address]; existing != nil {
+		return existing, false
 	}
-	l = &look{at: now, done: make(chan struct{})}
-	e.looks[address] = l
-	return l, true
+	c = &portCheck{startedAt: now, done: make(chan struct{})}
+	pc.checks[address] = c
+	return c, true
 }
 
-func (e *endings) refused(ctx context.Context, address string) bool {
-	conn, err := e.dialer.DialContext(ctx, "tcp", address)
+func (pc *portChecker) connectionRefused(ctx context.Context, address string) bool {
+	conn, err := pc.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
 		_ = conn.Close()
 		return false
--- a/internal/gateway/unproven.go
+++ b/internal/gateway/unproven.go
@@ -8,73 +8,73 @@
 	"github.com/marbleroad/marbleroad/internal/quarantine"
 )
 
-// unproven remembers requests whose VM may have ended under them. A VM that loses power closes no
-// port; that it ended shows only later, by another life or by its leaving the platform's list. One
-// whose process dies may close its connections before its port. A request that is answered
-// meanwhile is let go.
-type unproven struct {
+// pendingTerminations remembers requests whose VM may have terminated under them. A VM that loses power
+// closes no port: its termination shows only later, by a new incarnation or by its removal from the
+// platform's list. A dying process may close its connections before its port. A request that completes
+// meanwhile is removed.
+type pendingTerminations struct {
 	mu    sync.Mutex
-	sends map[*send]silence
+	sends map[*send]pendingTermination
 }
 
-// silence is when and how a VM may have ended.
-type silence struct {
-	at time.Time
-	// byList is true when the platform's list may prove the end.
+// pendingTermination is when a VM may have terminated, and how this can be confirmed.
+type pendingTermination struct {
+	since time.Time
+	// byList is true if the platform's list can confirm the termination.
 	byList bool
 }
 
 // add remembers a send.
-func (u *unproven) add(now time.Time, s *send, byList bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.sends == nil {
-		u.sends = make(map[*send]silence)
+func (p *pendingTerminations) add(now time.Time, s *send, byList bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.sends == nil {
+		p.sends = make(map[*send]pendingTermination)
 	}
-	if len(u.sends) < mostUnproven {
-		u.sends[s] = silence{now, byList}
+	if len(p.sends) < maxPendingTerminations {
+		p.sends[s] = pendingTermination{now, byList}
 	}
 }
 
-// take takes a send out; it reports false when it was let go.
-func (u *unproven) take(s *send) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	_, ok := u.sends[s]
-	delete(u.sends, s)
+// take removes a send. It reports false if the send was already removed.
+func (p *pendingTerminations) take(s *send) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	_, ok := p.sends[s]
+	delete(p.sends, s)
 	return ok
 }
 
-// any reports whether there is any.
-func (u *unproven) any() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return len(u.sends) > 0
+// any reports whether there are any pending terminations.
+func (p *pendingTerminations) any() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.sends) > 0
 }
 
-// drop lets all sends of a request go.
-func (u *unproven) drop(f quarantine.Fingerprint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for s := range u.sends {
-		if s.print == f {
-			delete(u.sends, s)
+// drop removes all sends of a request.
+func (p *pendingTerminations) drop(f quarantine.Fingerprint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for s := range p.sends {
+		if s.fingerprint == f {
+			delete(p.sends, s)
 		}
 	}
 }
 
-// proven takes out and returns the sends whose VM has ended, and forgets those that are too old.
-func (u *unproven) proven(now time.Time, snapshot *fleet.Snapshot) []*send {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// confirmed removes and returns the sends whose VM has terminated, and removes those that are too old.
+func (p *pendingTerminations) confirmed(now time.Time, snapshot *fleet.Snapshot) []*send {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var out []*send
-	for s, since := range u.sends {
+	for s, pending := range p.sends {
 		switch {
-		case since.byList && snapshot != nil && endedBy(snapshot, s.vm):
+		case pending.byList && snapshot != nil && terminationListed(snapshot, s.vm):
 			out = append(out, s)
-			delete(u.sends, s)
-		case now.Sub(since.at) > unprovenFor:
-			delete(u.sends, s)
+			delete(p.sends, s)
+		case now.Sub(pending.since) > pendingTerminationTTL:
+			delete(p.sends, s)
 		}
 	}
 	return out
