--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	// maxEdits bounds the edits of one sheet.
+	// maxEdits bounds the edits of one change.
 	maxEdits = 5000
-	// maxParallelWrites is the number of rows of one sheet that are written concurrently.
+	// maxParallelWrites is the number of rows of one change that are written concurrently.
 	maxParallelWrites = 8
 )
 
-// Apply implements OperatorService. All edits are checked before any is written, so a sheet
-// with an invalid edit changes nothing.
+// Apply implements OperatorService. All edits are checked before any is written, so a change
+// with an invalid edit has no effect. After that, each row is written separately: a conflict
+// at one row does not undo the others.
 func (h operatorHandler) Apply(ctx context.Context, r *connect.Request[marbleroadv1.ApplyRequest]) (*connect.Response[marbleroadv1.ApplyResponse], error) {
 	m := r.Msg
 	if m.GetChangeId() == "" || len(m.GetEdits()) > maxEdits {
@@ -52,7 +53,8 @@
 	return connect.NewResponse(&marbleroadv1.ApplyResponse{Results: results}), nil
 }
 
-// checkedEdit is an edit together with the row parsed from its cells.
+// checkedEdit is a valid edit with the row that results from it according to the items of this
+// process. When the edit is written, it is applied to the row as stored instead.
 type checkedEdit struct {
 	message *marbleroadv1.RowEdit
 	row     *table.Row
@@ -62,7 +64,8 @@
 	return &marbleroadv1.RowResult{Sheet: e.GetSheet(), Name: e.GetName(), Outcome: outcome, Message: message}
 }
 
-// checkEdits parses all cells and reports every validation error of the sheet.
+// checkEdits parses and validates all edits. Its results hold the validation errors of each
+// edit; the last value is false if there are any.
 func (k *Control) checkEdits(edits []*marbleroadv1.RowEdit) ([]checkedEdit, []*marbleroadv1.RowResult, bool) {
 	out := make([]checkedEdit, len(edits))
 	results := make([]*marbleroadv1.RowResult, len(edits))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -44,7 +44,7 @@
 	Listen        string
 	// Advertise is the address at which other nodes reach Listen.
 	Advertise string
-	// EntryPeer is the address of this VM's entry for other nodes.
+	// EntryPeer is the address at which other nodes reach this VM's entry.
 	EntryPeer           string
 	Seeds               []string
 	OperatorTokenSHA256 string
@@ -195,7 +195,7 @@
 // limitMessageSize rejects messages larger than transport.MaxMessage.
 var limitMessageSize = connect.WithReadMaxBytes(transport.MaxMessage)
 
-// minCompressBytes is the size from which a response is compressed.
+// minCompressBytes is the size from which compressLarge compresses a response.
 const minCompressBytes = 2048
 
 // tickInterval is how often the control state is evaluated.
@@ -222,13 +222,13 @@
 // recordPlatformCall records from the result of a call whether the platform is reachable, and
 // logs when that changes.
 func (k *Control) recordPlatformCall(err error) {
-	answered := err == nil || errors.IsAny(err, platform.ErrNotFound, platform.ErrConflict,
+	responded := err == nil || errors.IsAny(err, platform.ErrNotFound, platform.ErrConflict,
 		platform.ErrCompacted, platform.ErrUnchanged)
-	was := k.platformDown.Swap(!answered)
+	wasDown := k.platformDown.Swap(!responded)
 	switch {
-	case answered && was:
+	case responded && wasDown:
 		k.parts.Log.Emit(event.PlatformUp).Send()
-	case !answered && !was:
+	case !responded && !wasDown:
 		k.parts.Log.Emit(event.PlatformDown).Err(err).Send()
 	}
 }
--- a/internal/control/divide.go
+++ b/internal/control/divide.go
@@ -42,7 +42,7 @@
 	s.assignDomains(live)
 	out := append([]node.Record(nil), s.localPeers...)
 	for _, recs := range s.delegatedDomains {
-		out = append(out, s.chooseDelegate(recs))
+		out = append(out, s.chooseRemoteNode(recs))
 	}
 	return out
 }
@@ -76,9 +76,10 @@
 	}
 }
 
-// chooseDelegate picks the node to query in another failure domain: the first one that
-// responds, otherwise another one every few seconds.
-func (s *state) chooseDelegate(recs []node.Record) node.Record {
+// chooseRemoteNode selects the node of another failure domain to query: the first one whose
+// lease has not expired. If there is none, it selects another node after each duration of a
+// peer's lease.
+func (s *state) chooseRemoteNode(recs []node.Record) node.Record {
 	for _, rec := range recs {
 		if p := s.peers[rec.ID]; p != nil && !p.lost {
 			return rec
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -17,8 +17,8 @@
 // drainRetryInterval is the pause between attempts to store a pending drain order.
 const drainRetryInterval = 2 * time.Second
 
-// Drain implements OperatorService. While the platform is unreachable, this failure domain's
-// processes share the order and put it in force; it is stored later.
+// Drain implements OperatorService. While the platform is unreachable, the processes of this
+// failure domain exchange the order as an item and apply it; it is stored later.
 func (h operatorHandler) Drain(ctx context.Context, r *connect.Request[marbleroadv1.DrainRequest]) (*connect.Response[marbleroadv1.DrainResponse], error) {
 	if err := table.CheckName(r.Msg.GetVm()); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -28,7 +28,7 @@
 	if k.storeDrain(ctx, order) {
 		return connect.NewResponse(&marbleroadv1.DrainResponse{Stored: true}), nil
 	}
-	k.publishPendingDrain(order)
+	k.publishDrain(order)
 	k.parts.Log.Emit(event.DrainHeld).Str("vm", order.VM).Send()
 	k.startWorker(context.Background(), func(context.Context) { k.storeWhenReachable(order) })
 	return connect.NewResponse(&marbleroadv1.DrainResponse{}), nil
@@ -59,8 +59,9 @@
 	return false
 }
 
-// publishPendingDrain adds the order to the items that peers of this failure domain exchange.
-func (k *Control) publishPendingDrain(order view.Drain) {
+// publishDrain adds the order as an item that peers of this failure domain exchange. The item of a
+// stored order replaces that of the pending one and has no effect of its own.
+func (k *Control) publishDrain(order view.Drain) {
 	key := view.DrainKey(k.config.FailureDomain, order.VM)
 	value, err := json.Marshal(order)
 	if err != nil {
@@ -71,7 +72,8 @@
 }
 
 // storeWhenReachable stores a pending order once the platform is reachable, unless a newer
-// order for the VM has arrived.
+// order for the VM has arrived. It then marks the order's item as stored, so that only the
+// table has an effect.
 func (k *Control) storeWhenReachable(order view.Drain) {
 	key := view.DrainKey(k.config.FailureDomain, order.VM)
 	pending, _ := k.items.Get(key)
@@ -82,7 +84,7 @@
 		}
 		if k.storeDrain(context.Background(), order) {
 			order.Stored = true
-			k.publishPendingDrain(order)
+			k.publishDrain(order)
 			return
 		}
 		time.Sleep(drainRetryInterval)
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// leases holds how long silence of others is tolerated. The times follow the exchange interval,
-// which is longer when there are many peers: with a lease shorter than two exchanges every peer
-// would be lost and found in turn.
+// leases holds how long others may send nothing before they count as lost. The times grow with
+// the exchange interval, which is longer when there are many peers: with a lease shorter than two
+// exchange intervals, every peer would repeatedly be lost and found again.
 type leases struct {
 	// peer is how long a peer counts as alive after the last request that it answered.
 	peer time.Duration
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -29,8 +29,8 @@
 // fabricPlanner is the planner's state for one fabric domain. It belongs to the state actor.
 //
 // There is no lease on a fabric domain: the conditional update of the plan keeps two planners
-// apart, and the plan's version is the fencing token. The preferred owner only keeps planners
-// from continually working against each other.
+// apart, and the plan's version is the fencing token. The choice of a preferred owner only
+// avoids that several processes keep competing for the same plan.
 type fabricPlanner struct {
 	// baseVersion is the stored object's version that the next update must match.
 	baseVersion uint64
@@ -187,7 +187,8 @@
 	}
 }
 
-// observedVM describes a VM to the planner by its latest probe result.
+// observedVM describes a VM to the planner by its latest probe result, and by how long this
+// process has found it absent. A VM without a recent probe result is absent.
 func (s *state) observedVM(now time.Time, snapshot *view.Snapshot, name, pool string) groups.VM {
 	probe, _ := s.k.registry.Get(name)
 	out := groups.VM{
--- a/internal/control/probe.go
+++ b/internal/control/probe.go
@@ -17,8 +17,10 @@
 // probeTracker tracks the probes that this process sends, so that it reports to peers only the
 // VMs that it probed itself.
 type probeTracker struct {
-	mu           sync.Mutex
-	running      map[string]bool
+	mu      sync.Mutex
+	running map[string]bool
+	// lastAnswered is when the last probe that showed the VM's state was sent. A refused
+	// connection counts as an answer.
 	lastAnswered map[string]time.Time
 }
 
@@ -110,9 +112,9 @@
 	k.localProbes.finish(m.VM, true, sentAt)
 }
 
-// recordRefusedProbe records a VM whose port refuses connections as terminated, so that nobody
-// has to wait for the presence window to expire. It reports whether it did; a timeout does not
-// tell whether the process has terminated.
+// recordRefusedProbe records a VM whose port refuses connections as terminated, so that its
+// termination is known before the presence window expires. It returns false for any other error:
+// a timeout, for example, leaves open whether the process has terminated.
 func (k *Control) recordRefusedProbe(m platform.Member, err error, sentAt time.Time) bool {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return false
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -41,6 +41,7 @@
 	return connect.NewResponse(out), nil
 }
 
+// allVMs is the filter that selects the probe results of every VM.
 func allVMs(string) bool { return true }
 
 // relevantToDomain reports whether processes of this failure domain need an item.
@@ -60,8 +61,9 @@
 // peerHandler implements PeerService for other control processes.
 type peerHandler struct{ k *Control }
 
-// Exchange implements PeerService. Peers of the same failure domain also get plans, drains,
-// membership and the VMs that this process probes itself.
+// Exchange implements PeerService. Peers of the same failure domain also receive plans, drain
+// orders, the membership list, the results of the probes that this process sent itself, and the
+// demand of single entries. Other peers receive the failure domain's total demand.
 func (h peerHandler) Exchange(_ context.Context, r *connect.Request[marbleroadv1.ExchangeRequest]) (*connect.Response[marbleroadv1.ExchangeResponse], error) {
 	k := h.k
 	m := r.Msg
--- a/internal/control/shares.go
+++ b/internal/control/shares.go
@@ -9,18 +9,19 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// reachability says how many of the failure domain's nodes are live as seen by this process.
+// reachability classifies which part of the failure domain's nodes is live as seen by this
+// process.
 type reachability int
 
 const (
 	// majorityReachable: the unresponsive nodes have failed or are in the minority. Their
 	// shares are free once the lease has expired.
 	majorityReachable reachability = iota
-	// halfReachable: the unresponsive nodes may be the other half of a partition and continue
-	// like this one. Each keeps its fixed share.
+	// halfReachable: the unresponsive nodes may be the other half of a partition, and divide the
+	// limits as this half does. Each half keeps its fixed share.
 	halfReachable
-	// minorityReachable: the other nodes continue without this one, which keeps only a minimal
-	// share.
+	// minorityReachable: the other nodes may be in the majority and divide the limits without this
+	// one, which keeps only a minimal share.
 	minorityReachable
 )
 
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -37,7 +37,8 @@
 	}
 	// planAttempted reports the outcome of an attempt to read or write a plan.
 	planAttempted struct {
-		fabric      string
+		fabric string
+		// baseVersion is the store's version of the plan that was read or written.
 		baseVersion uint64
 		err         error
 	}
@@ -130,7 +131,7 @@
 	// damper keeps the sum of all entries' shares within the limit.
 	damper quota.Damper
 
-	// missingSince is when each missing VM was first found absent.
+	// missingSince is when this process first found each missing VM absent.
 	missingSince map[string]time.Time
 	// retiringSince is when each retiring group was first seen retiring.
 	retiringSince map[string]time.Time
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -84,7 +84,7 @@
 mutant "a leaving VM gets work" internal/view/view.go \
   's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not held while the platform is down" internal/control/drain.go \
-  's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
+  's/\tk\.publishDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
 mutant "a stop does not wait for answers in flight" internal/entry/server.go \
   's/case <-done:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
 mutant "a stop does not wait for outcomes to be stored" internal/entry/server.go \
