--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -26,10 +26,10 @@
 	Generation uint64
 	// Slots is how many requests the upstream runs at once; at least 1.
 	Slots int
-	// InFlight and Queued are the upstream's own report; it lags behind.
+	// InFlight and Queued are as the upstream last reported them; they lag behind.
 	InFlight int
 	Queued   int
-	// EligibleUntil is when the probe results expire by which the upstream is eligible.
+	// EligibleUntil is when the probe results that make the upstream eligible expire.
 	EligibleUntil time.Time
 }
 
@@ -58,7 +58,8 @@
 	Teams    map[string]Team
 	Services map[string]Service
 	Limits   map[LimitKey]table.Limit
-	// Rates holds the rate limit over all entries by subject, for subjects that have one.
+	// Rates maps a subject, a team or what LimitSubject returns, to the rate limit that applies
+	// to all entries together. Subjects without a limit are left out.
 	Rates map[string]float64
 	// Members lists the upstream VMs of this failure domain by name.
 	Members map[string]platform.Member
@@ -122,7 +123,8 @@
 
 // Build returns the snapshot at now. A row, plan or membership list that cannot be decoded leaves
 // its last valid version in force and is reported once per version. Drain orders and node records
-// that cannot be decoded are left out; the former are reported whenever any item has changed.
+// that cannot be decoded are left out. Such a node record is reported once per version, such a
+// drain order each time that any item has changed.
 func (b *Builder) Build(results groups.ProbeResults, now time.Time, window time.Duration) (*Snapshot, []DecodeError) {
 	errs := b.refresh()
 	s := *b.base
@@ -371,7 +373,8 @@
 	return probe.Fresh(now, window) && probe.Ready && !probe.Leaving && !s.Leaving[probe.VM]
 }
 
-// addUpstream adds an upstream to a known service, with the service's limit of slots.
+// addUpstream adds an upstream to its service, unless the service or the upstream's address is
+// unknown. The service's number of slots, if it has one, caps that of the upstream.
 func (s *Snapshot) addUpstream(name string, u Upstream) {
 	service, ok := s.Services[name]
 	if !ok || u.Address == "" {
