--- a/internal/startup/startup.go
+++ b/internal/startup/startup.go
@@ -20,7 +20,7 @@
 const (
 	// checkInterval is the time between two checks of the requirements.
 	checkInterval = 50 * time.Millisecond
-	// lineInterval is the minimum time between two log lines of a node that lacks something;
+	// lineInterval is the minimum time between two log lines of a node with missing requirements;
 	// lateLineInterval applies instead once lateAfter has passed since the start.
 	lineInterval     = time.Second
 	lateLineInterval = 30 * time.Second
@@ -53,8 +53,8 @@
 	return p
 }
 
-// MarkMet records that a requirement is met. Only the first time counts, also if it is not met for
-// a while afterwards.
+// MarkMet records that a requirement is met. Only the first time counts, even if the requirement
+// is not met for a while afterwards.
 func (p *Progress) MarkMet(i int, now time.Time) {
 	if p.metAfter[i] < 0 {
 		p.metAfter[i] = now.Sub(p.startedAt)
@@ -148,7 +148,7 @@
 	}
 }
 
-// complete logs how long each requirement took.
+// complete logs the time from the start until each requirement was met.
 func (w *Watch) complete() {
 	line := w.log.Emit(event.StartComplete)
 	for i, r := range w.requirements {
--- a/internal/startup/startup_test.go
+++ b/internal/startup/startup_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestCompleteStartIsLogged checks that the durations are logged once when all requirements are
-// met, and that the watch then ends.
+// met, and that the watch's loop then returns.
 func TestCompleteStartIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	log, err := event.New(&out, "info", "n", "test")
