--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,12 +16,13 @@
 	FailureDomain string `json:"failure_domain"`
 	// Control is the address of the control daemon.
 	Control string `json:"control"`
-	// EntryPeer is the address where the entry takes other entries' requests.
+	// EntryPeer is the address at which the entry accepts requests of other entries.
 	EntryPeer string `json:"entry_peer"`
 	// Version increases with each start of the VM's control daemon and when the record is
-	// retired.
+	// retired. Processes keep the record with the highest version.
 	Version uint64 `json:"version"`
-	// Retired marks the record of a VM that has been unresponsive for long.
+	// Retired marks the record of a VM that has been unresponsive for a long time. A restart of
+	// the VM's control daemon stores a record without the mark.
 	Retired bool `json:"retired,omitempty"`
 }
 
