--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -102,11 +102,11 @@
 mutant "a faulty entry is passed over" internal/fleet/directory.go \
   's/return d\.drop\(id\)\n\}\n\n\/\/ isOlder/return false\n}\n\n\/\/ isOlder/' ./internal/fleet TestInvalidEntryDropsVM
 mutant "an unknown state is in service" platform/entry.go \
-  's/\(\*e\.State != stateReady && \*e\.State != stateDraining\)/false/' ./platform TestEntriesOfOtherWriters
+  's/\(\*e\.State != stateReady && \*e\.State != stateDraining\)/false/' ./platform TestInvalidEntriesAreRejected
 mutant "a place in a group has no bound" platform/entry.go \
-  's/ \|\| g\.Rank > mostRank//' ./platform TestEntriesOfOtherWriters
+  's/ \|\| g\.Rank > maxRank//' ./platform TestInvalidEntriesAreRejected
 mutant "an unreadable object fails its page" platform/store.go \
-  's/out\.fault = errors\.Wrap\(err, "decode object"\)/panic(err)/' ./platform TestUnreadableObjectHidesNoOther
+  's/out\.decodeErr = errors\.Wrap\(err, "decode object"\)/panic(err)/' ./platform TestInvalidObjectDoesNotHideOthers
 mutant "a member is summed up for the one who asks" internal/cluster/sum.go \
   's/m\.state\.GetNode\(\) != exclude/true/' ./internal/cluster TestStateOfOneNodeReachesAll
 mutant "a lost hub is not replaced" internal/cluster/topology.go \
@@ -188,7 +188,7 @@
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
   's/c\.version <= old\.version/c.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverFalls
 mutant "the configuration is watched from its last change" platform/configuration.go \
-  's/return next, revision, err/revision = o.Metadata.Rev\n\t\t\treturn next, revision, err/' ./platform TestWatchAfterForgottenHistory
+  's/out\.Catalog, err = DecodeConfiguration\(o\.Spec\)/out.Revision = o.Metadata.Rev\n\t\t\t$&/' ./platform TestWatchAfterCompaction
 mutant "the key is passed on" platform/upstream.go \
   's/headerKey, headerTeam, headerExpectVM/headerTeam, headerExpectVM/' ./internal/gateway TestTargetAndHeaders
 mutant "a leaving VM is still a target" internal/gateway/board.go \
@@ -248,7 +248,7 @@
 mutant "a follower keeps missing entries once more" internal/fleet/directory.go \
   's/case c\.Removed \&\& relayed:/case false:/' ./internal/fleet TestRelayedRemovalTakesEffectAtOnce
 mutant "silent connections to the store are tried in turn" platform/store.go \
-  's/s\.http\.CloseIdleConnections\(\)//g' ./platform TestSilentConnectionsAreLeftTogether
+  's/s\.http\.CloseIdleConnections\(\)//g' ./platform TestUnresponsiveConnectionsAreClosedTogether
 mutant "a length beside chunks is taken" internal/gateway/framing.go \
   's/if !known \|\| len\(r\.TransferEncoding\) == 0/if known || true/' ./internal/gateway TestAmbiguousLengthIsRefused
 mutant "an entry keeps the connection of a request in chunks" internal/entry/server.go \
@@ -342,13 +342,13 @@
 mutant "the first by ID are followed" internal/cluster/topology.go \
   's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/feed TestWeakNodesAreNotFollowed
 mutant "an answer is bounded as a whole" internal/transport/progress.go \
-  's/if p\.timer\.Stop\(\) \{/if false {/' ./platform TestAnswerThatKeepsComingIsReadToItsEnd
+  's/if p\.timer\.Stop\(\) \{/if false {/' ./platform TestSlowResponseIsReadCompletely
 mutant "an answer that creeps is never given up" internal/transport/progress.go \
-  's/min\(p\.pause, time\.Until\(p\.end\)\)/p.pause/' ./platform TestAnswerThatCreepsIsGivenUp
+  's/min\(p\.pause, time\.Until\(p\.end\)\)/p.pause/' ./platform TestEndlessResponseIsAborted
 mutant "a node that starts again writes its record first" internal/cluster/records.go \
   's/registered = registered \|\| found/_ = found/' ./internal/cluster TestRestartedNodeKnowsTheOthersWithoutAWrite
 mutant "a page that fails ends the list" platform/store.go \
-  's/pageTries = 4/pageTries = 1/' ./platform TestPageThatFailsIsAskedForAgain
+  's/maxPageAttempts = 4/maxPageAttempts = 1/' ./platform TestFailedPageIsRetried
 mutant "a leader waits as long as it pauses" internal/feed/fleet.go \
   's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestProofIsYoungAtEachMoment
 mutant "the least known load is taken" internal/gateway/choose.go \
@@ -418,7 +418,7 @@
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
   's/\td\.leaving\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsRegardlessOfItsEntry
 mutant "backpressure: what reports say is not heard" platform/engine.go \
-  's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
+  's/\te\.reportCondition\(vm, resp\)\n//g' ./platform TestLeavingIsReadFromReports
 mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
   's/, RestFilter\{\}//' ./internal/routing TestRestingUpstreamIsNotChosen
 mutant "an entry that is written late counts as the newest word" internal/director/watch.go \
--- a/scripts/proof.sh
+++ b/scripts/proof.sh
@@ -48,7 +48,7 @@
   promise "Bad input and callers without credentials get nothing" \
     'TestBadInput.*|TestWithoutCredentials.*|TestMutualTLS|TestFaults.*|TestSlowBody.*|Fuzz.*' ./internal/settings ./internal/table ./internal/groups ./internal/entry ./internal/ctl $int
   promise "On the users' platform: groups, requests, changes, stops" \
-    'TestRandomFaults|TestTwoDirectors|TestHeadPartitioned.*|TestDeadHead|TestLostMember|TestSuccessor|TestMemberIn.*|TestUnanswered.*|TestStreamGoesOn.*|TestCutStream.*|TestRefusalIsTrue|TestNonIdempotent.*|TestLeavingVM.*|TestConfiguration.*|TestKeysNeed.*|TestVersionNever.*|TestNoWindow.*|TestAnswers.*|TestResponsesOfManyVMs.*' \
+    'TestRandomFaults|TestTwoDirectors|TestHeadPartitioned.*|TestDeadHead|TestLostMember|TestSuccessor|TestMemberIn.*|TestUnanswered.*|TestStreamGoesOn.*|TestCutStream.*|TestRefusalIsTrue|TestNonIdempotent.*|TestLeavingVM.*|TestConfiguration.*|TestKeysNeed.*|TestVersionNever.*|TestNoWindow.*|TestAnswers.*|TestResponseVerdicts|TestResponsesOfManyVMs.*' \
     ./internal/director ./internal/gateway ./internal/catalog ./internal/retry ./platform
   promise "On the users' platform, with real processes" 'TestNode.*|TestStreamOutlives.*|TestDirectorKilled' $int
   promise "All of them under random faults, two at once" 'TestRandomFaults' $int
