--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the narrow interface to upstream VMs: probes and orders.
-// Requests themselves go through package relay.
+// Package engine defines the interface to upstream VMs for probes and orders.
+// Requests are sent by package relay.
 package engine
 
 import (
@@ -13,25 +13,25 @@
 // ErrFenced means that the engine refused an order with an old fencing token.
 var ErrFenced = errors.New("order refused: fencing token is old")
 
-// Order tells one VM which group to serve in.
+// Order assigns one VM to a group, or releases it.
 type Order struct {
-	// Group is empty to release the VM.
+	// Group is the group to serve in; empty releases the VM.
 	Group      string `json:"group"`
 	Service    string `json:"service"`
 	Generation uint64 `json:"generation"`
 	Rank       int    `json:"rank"`
 	Size       int    `json:"size"`
-	// Members are the addresses of the group's VMs by rank.
+	// Members are the addresses of the group's VMs, indexed by rank.
 	Members []string `json:"members,omitempty"`
-	// Fence is the plan version that the order comes from.
+	// Fence is the fencing token: the version of the plan that the order comes from.
 	Fence uint64 `json:"fence"`
 }
 
-// Engine is what control asks of an upstream VM. Implementations may be
-// called from any goroutine.
+// Engine sends the control daemon's calls to upstream VMs. Implementations are
+// safe for concurrent use.
 type Engine interface {
-	// Probe asks the VM what it is. The caller sets SentAt and VM.
+	// Probe queries the VM's state. The caller sets SentAt and VM of the result.
 	Probe(ctx context.Context, address string) (presence.ProbeResult, error)
-	// Assign sends an order. ErrFenced means that the VM refused it.
+	// Assign sends an order. It returns ErrFenced if the VM refused it for its old fencing token.
 	Assign(ctx context.Context, address string, order Order) error
 }
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -8,33 +8,34 @@
 	"github.com/marbleroad/marbleroad/internal/fleet"
 )
 
-// Errors of orders to VMs that form groups by themselves.
+// Errors of calls to VMs that form groups by themselves.
 var (
-	// ErrDoesNotFit means that the order does not fit the VM's state, or that
-	// the VM has accepted other orders than the sender knows of.
+	// ErrDoesNotFit means that the order is not possible in the VM's state, or
+	// that the VM has accepted orders that the sender does not know.
 	ErrDoesNotFit = errors.New("order does not fit the VM's state")
-	// ErrOldGeneration means that the VM has seen a higher generation.
+	// ErrOldGeneration means that the VM has seen a higher generation of the group.
 	ErrOldGeneration = errors.New("order has an old generation")
-	// ErrOtherVM means that another VM has the address now.
+	// ErrOtherVM means that another VM responded at the address.
 	ErrOtherVM = errors.New("another VM has the address")
-	// ErrNoAnswer means that the order may have been carried out, or may be later.
+	// ErrNoAnswer means that no valid response was received: the order may have been
+	// executed, or may still be.
 	ErrNoAnswer = errors.New("order was not answered")
 )
 
-// Operation is what an order asks a VM to do.
+// Operation is the kind of an order.
 type Operation uint8
 
-// The operations.
+// The operations of a GroupOrder.
 const (
-	// Join puts the VM into a group and has it get the model ready.
+	// Join puts the VM into a group and makes it load the model.
 	Join Operation = iota + 1
-	// OpenHead has the head of a ready group take requests.
+	// OpenHead makes the head of a ready group accept requests.
 	OpenHead
-	// CloseHead has the head end its work first and then take no more.
+	// CloseHead makes the head finish its work and accept no more.
 	CloseHead
-	// CloseHeadNow has the head give up its work.
+	// CloseHeadNow makes the head abort its work.
 	CloseHeadNow
-	// Leave takes the VM out of its group at once.
+	// Leave removes the VM from its group at once.
 	Leave
 	// Stage copies a model onto the VM's host.
 	Stage
@@ -42,7 +43,7 @@
 
 var operationNames = [...]string{"", "join", "open", "close", "close-now", "leave", "stage"}
 
-// String returns the operation's name in logs.
+// String returns the operation's name as it is logged.
 func (o Operation) String() string { return operationNames[o] }
 
 // GroupOrder is one order to one VM.
@@ -50,35 +51,36 @@
 	Operation  Operation
 	Group      string
 	Generation uint64
-	// Model is for Join and Stage.
+	// Model is set for Join and Stage.
 	Model string
-	// Members are the IDs of the group's VMs by rank, for Join.
+	// Members are the IDs of the group's VMs, indexed by rank. They are set for Join.
 	Members []string
-	// Accepted is how many orders the VM has accepted so far. An order that
-	// arrives late, after others, is refused by it.
+	// Accepted is the number of orders that the VM must have accepted before this
+	// one. The VM refuses an order that arrives late, after others.
 	Accepted uint64
 }
 
-// Report is what a VM says of itself.
+// Report is the state that a VM reports.
 type Report struct {
-	// Accepted is how many orders the VM has accepted in this life, which began at
-	// Born as in fleet.VM.
+	// Accepted is the number of orders that the VM has accepted in its present
+	// incarnation.
 	Accepted uint64
-	Born     int64
-	Running  int
-	Waiting  int
+	// Born is the start time of the incarnation, as in fleet.VM.
+	Born    int64
+	Running int
+	Waiting int
 	// Pace above 1 means that the VM is slow.
 	Pace       float64
 	Staged     []string
 	Membership fleet.Membership
 }
 
-// GroupEngine is what the director asks of VMs that form groups.
-// Implementations may be called from any goroutine.
+// GroupEngine sends the director's calls to VMs that form groups.
+// Implementations are safe for concurrent use.
 type GroupEngine interface {
-	// Report asks the VM what it is. ErrOtherVM means that the life has ended.
+	// Report queries the VM's state. It returns ErrOtherVM if the incarnation has terminated.
 	Report(ctx context.Context, vm *fleet.VM) (Report, error)
-	// Order sends an order. begun is true when the VM counts it as accepted,
-	// false when the wanted state held already.
-	Order(ctx context.Context, vm *fleet.VM, o GroupOrder) (begun bool, err error)
+	// Order sends an order. It returns true if the VM counts the order as accepted, and
+	// false if the VM was already in the requested state.
+	Order(ctx context.Context, vm *fleet.VM, o GroupOrder) (accepted bool, err error)
 }
--- a/internal/engine/httpapi/httpapi.go
+++ b/internal/engine/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi is the HTTP adapter of the engine interface. Plain services
-// answer the same probe, with only the load fields filled.
+// Package httpapi is the HTTP adapter of the engine interface. VMs of plain services
+// respond to the same probe, with only the load fields set.
 package httpapi
 
 import (
@@ -15,14 +15,15 @@
 	"github.com/marbleroad/marbleroad/internal/presence"
 )
 
-// Wire paths of the engine's protocol.
+// Paths of the engine's protocol.
 const (
-	StatusPath     = "/v1/status"
-	AssignPath     = "/v1/assign"
-	maxAnswerBytes = 64 << 10
+	StatusPath = "/v1/status"
+	AssignPath = "/v1/assign"
 )
 
-// Status is the wire form of a probe's answer.
+const maxResponseBytes = 64 << 10
+
+// Status is the wire format of the response to a probe.
 type Status struct {
 	Group      string `json:"group,omitempty"`
 	Generation uint64 `json:"generation,omitempty"`
@@ -36,12 +37,12 @@
 	Slots      int    `json:"slots"`
 }
 
-// Client talks to engines. It may be used from any goroutine.
+// Client is a client of upstream VMs. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// New returns a client. Every call is bounded by its context.
+// New returns a client that uses the transport. Each call is bounded by its context.
 func New(transport http.RoundTripper) *Client {
 	return &Client{http: &http.Client{Transport: transport}}
 }
@@ -54,7 +55,7 @@
 	if err != nil {
 		return presence.ProbeResult{}, errors.Wrap(err, "probe")
 	}
-	// An empty agent is left out: probes are most of the bytes of control.
+	// An empty User-Agent is not sent: probes make up most of the control daemon's traffic in bytes.
 	req.Header.Set("User-Agent", "")
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -95,23 +96,24 @@
 		return errors.Wrap(err, "assign")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
 		return errors.Wrapf(engine.ErrFenced, "%s fence %d", address, order.Fence)
 	}
-	return errors.Newf("assign: engine answered %d", resp.StatusCode)
+	return errors.Newf("assign: VM responded with status %d", resp.StatusCode)
 }
 
+// decode decodes the response to a probe.
 func decode(resp *http.Response, into *Status) error {
 	if resp.StatusCode != http.StatusOK {
-		return errors.Newf("probe: upstream answered %d", resp.StatusCode)
+		return errors.Newf("probe: VM responded with status %d", resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Wrap(err, "read probe answer")
+		return errors.Wrap(err, "read probe response")
 	}
-	return errors.Wrap(json.Unmarshal(data, into), "decode probe answer")
+	return errors.Wrap(json.Unmarshal(data, into), "decode probe response")
 }
--- a/internal/platform/httpapi/httpapi.go
+++ b/internal/platform/httpapi/httpapi.go
@@ -28,7 +28,7 @@
 	BaseHeader  = "If-Version"
 )
 
-// Object is the wire form of one object.
+// Object is the wire format of one object.
 type Object struct {
 	Key      string          `json:"key"`
 	Version  uint64          `json:"version"`
@@ -36,26 +36,27 @@
 	Value    json.RawMessage `json:"value"`
 }
 
-// ObjectList is the wire form of a listing or of a watch's answer.
+// ObjectList is the wire format of the response to a list or a watch.
 type ObjectList struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// Client talks to the platform. It may be used from any goroutine.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 
 	mu sync.Mutex
-	// storeTime is the newest Date that the platform sent, seenAt when it came.
+	// storeTime is the last Date header that the platform sent.
 	storeTime time.Time
-	seenAt    time.Time
+	// receivedAt is when storeTime was received.
+	receivedAt time.Time
 }
 
 // New returns a client of the platform at base, such as http://10.0.0.1:9000.
-// Timeout bounds every call but the waiting part of a watch.
+// The timeout bounds every call, not counting the waiting time of a watch.
 func New(base string, transport http.RoundTripper, timeout time.Duration) *Client {
 	return &Client{
 		base:    strings.TrimRight(base, "/"),
@@ -66,19 +67,20 @@
 
 var _ platform.Platform = (*Client)(nil)
 
-// StoreTime returns the platform's own clock, carried on by this process's
-// monotonic clock; the zero time before the first answer. Clock jumps on this
-// VM don't change it.
+// StoreTime returns the current time of the platform's clock: the last Date that
+// it sent, advanced by this process's monotonic clock. Clock jumps on this VM
+// don't affect it. It returns the zero time before the first response.
 func (c *Client) StoreTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.storeTime.IsZero() {
 		return time.Time{}
 	}
-	return c.storeTime.Add(time.Since(c.seenAt))
+	return c.storeTime.Add(time.Since(c.receivedAt))
 }
 
-func (c *Client) noteTime(resp *http.Response) {
+// recordTime records the platform's clock from the response's Date header.
+func (c *Client) recordTime(resp *http.Response) {
 	date, err := http.ParseTime(resp.Header.Get("Date"))
 	if err != nil {
 		return
@@ -86,16 +88,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.storeTime = date
-	c.seenAt = time.Now()
+	c.receivedAt = time.Now()
 }
 
-// do sends the request and notes the platform's clock.
+// do sends the request and records the platform's clock.
 func (c *Client) do(req *http.Request) (*http.Response, error) {
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, errors.Wrap(err, "platform")
 	}
-	c.noteTime(resp)
+	c.recordTime(resp)
 	return resp, nil
 }
 
@@ -105,7 +107,7 @@
 	if err := c.read(ctx, ObjectsPath+key, c.timeout, &out); err != nil {
 		return platform.Object{}, err
 	}
-	return out.domain(), nil
+	return out.toObject(), nil
 }
 
 // List implements platform.ObjectStore.
@@ -115,7 +117,7 @@
 	if err := c.read(ctx, path, c.timeout, &out); err != nil {
 		return nil, 0, err
 	}
-	return out.domain(), out.Revision, nil
+	return out.toObjects(), out.Revision, nil
 }
 
 // Watch implements platform.ObjectStore.
@@ -128,13 +130,13 @@
 	if err := c.read(ctx, WatchPath+"?"+query.Encode(), c.timeout+wait, &out); err != nil {
 		return nil, 0, err
 	}
-	return out.domain(), out.Revision, nil
+	return out.toObjects(), out.Revision, nil
 }
 
 // Members implements platform.Membership.
-func (c *Client) Members(ctx context.Context, failureDomain string, known uint64) (platform.MemberList, error) {
+func (c *Client) Members(ctx context.Context, failureDomain string, knownVersion uint64) (platform.MemberList, error) {
 	var out platform.MemberList
-	path := MembersPath + "?failure_domain=" + url.QueryEscape(failureDomain) + "&known=" + strconv.FormatUint(known, 10)
+	path := MembersPath + "?failure_domain=" + url.QueryEscape(failureDomain) + "&known=" + strconv.FormatUint(knownVersion, 10)
 	err := c.read(ctx, path, c.timeout, &out)
 	return out, err
 }
@@ -151,7 +153,7 @@
 	if err != nil {
 		return platform.Object{}, errors.Mark(err, platform.ErrUnavailable)
 	}
-	// A PUT counts as replayable for net/http; without GetBody it is sent once.
+	// net/http treats a PUT as replayable; without GetBody it sends the call only once.
 	req.GetBody = nil
 	req.Header.Set(BaseHeader, strconv.FormatUint(base, 10))
 	resp, err := c.do(req)
@@ -169,9 +171,10 @@
 	if err := jsonbody.Decode(resp.Body, &out); err != nil {
 		return platform.Object{}, errors.Mark(err, platform.ErrUnknown)
 	}
-	return out.domain(), nil
+	return out.toObject(), nil
 }
 
+// read sends a GET and decodes its response.
 func (c *Client) read(ctx context.Context, path string, timeout time.Duration, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -190,8 +193,8 @@
 	return errors.Mark(jsonbody.Decode(resp.Body, into), platform.ErrUnavailable)
 }
 
-// statusError maps a status to a sentinel. Only statuses that the protocol
-// promises to send before any effect count as such; the rest is fallback.
+// statusError maps a status to a sentinel error. It uses the fallback for statuses
+// for which the protocol does not guarantee that the call had no effect.
 func statusError(resp *http.Response, fallback error) error {
 	kind := fallback
 	switch resp.StatusCode {
@@ -206,17 +209,17 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		kind = platform.ErrUnavailable
 	}
-	return errors.Wrapf(kind, "platform answered %d", resp.StatusCode)
+	return errors.Wrapf(kind, "platform responded with status %d", resp.StatusCode)
 }
 
-func (o Object) domain() platform.Object {
+func (o Object) toObject() platform.Object {
 	return platform.Object{Key: o.Key, Version: o.Version, Revision: o.Revision, Value: o.Value}
 }
 
-func (l ObjectList) domain() []platform.Object {
+func (l ObjectList) toObjects() []platform.Object {
 	out := make([]platform.Object, len(l.Objects))
 	for i, o := range l.Objects {
-		out[i] = o.domain()
+		out[i] = o.toObject()
 	}
 	return out
 }
--- a/internal/platform/httpapi/httpapi_test.go
+++ b/internal/platform/httpapi/httpapi_test.go
@@ -13,6 +13,7 @@
 	"github.com/marbleroad/marbleroad/internal/platform"
 )
 
+// put returns the error of a write to a platform with this handler.
 func put(t *testing.T, h http.HandlerFunc) error {
 	t.Helper()
 	server := httptest.NewServer(h)
@@ -21,7 +22,7 @@
 	return err
 }
 
-// TestOutcomesOfWrites: only what certainly had no effect is told as such.
+// A failed write is reported as having no effect only if that is certain.
 func TestOutcomesOfWrites(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -30,14 +31,14 @@
 		handler http.HandlerFunc
 		want    error
 	}{
-		"conflict":      {status(http.StatusPreconditionFailed), platform.ErrConflict},
-		"rate limit":    {status(http.StatusTooManyRequests), platform.ErrUnavailable},
-		"outage":        {status(http.StatusServiceUnavailable), platform.ErrUnavailable},
-		"inner failure": {status(http.StatusInternalServerError), platform.ErrUnknown},
-		"no JSON":       {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("?")) }, platform.ErrUnknown},
-		"broken answer": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, platform.ErrUnknown},
-		"no answer": {func(_ http.ResponseWriter, r *http.Request) {
-			// With the body read, the server sees the caller leave.
+		"conflict":         {status(http.StatusPreconditionFailed), platform.ErrConflict},
+		"rate limit":       {status(http.StatusTooManyRequests), platform.ErrUnavailable},
+		"outage":           {status(http.StatusServiceUnavailable), platform.ErrUnavailable},
+		"internal error":   {status(http.StatusInternalServerError), platform.ErrUnknown},
+		"not JSON":         {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("?")) }, platform.ErrUnknown},
+		"aborted response": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, platform.ErrUnknown},
+		"no response": {func(_ http.ResponseWriter, r *http.Request) {
+			// The server notices that the caller disconnects only after the body is read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 		}, platform.ErrUnknown},
@@ -54,7 +55,7 @@
 	}
 }
 
-// TestStoreTime: the clock is the store's, carried on monotonically.
+// The store's clock starts at the Date header and is advanced monotonically.
 func TestStoreTime(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Date", "Sun, 06 Nov 1994 08:49:37 GMT")
@@ -63,12 +64,12 @@
 	defer server.Close()
 	c := New(server.URL, http.DefaultTransport, time.Second)
 	if !c.StoreTime().IsZero() {
-		t.Error("a clock before the first answer")
+		t.Error("the store's time is set before the first response")
 	}
 	if _, err := c.Get(context.Background(), "k"); !errors.Is(err, platform.ErrNotFound) {
 		t.Errorf("got %v", err)
 	}
 	if got := c.StoreTime(); got.Year() != 1994 || got.Sub(time.Date(1994, 11, 6, 8, 49, 37, 0, time.UTC)) < 0 {
-		t.Errorf("store's clock %s", got)
+		t.Errorf("store's time %s", got)
 	}
 }
