--- a/internal/director/answers.go
+++ b/internal/director/answers.go
@@ -27,7 +27,7 @@
 	}
 	v.failures = 0
 	v.lostUntil = time.Time{}
-	v.accepted, v.acceptedKnown = r.report.Accepted, true
+	v.accepted, v.acceptedKnown = r.report.AcceptedOrders, true
 	v.reported, v.reportRequestedAt = r.report.Membership, r.requestedAt
 	for _, gs := range s.groups {
 		if gs.head == r.vm.ID {
@@ -92,7 +92,7 @@
 			v.accepted++
 		}
 		s.orderSucceeded(now, m)
-	case errors.Is(m.err, engine.ErrDoesNotFit):
+	case errors.Is(m.err, engine.ErrStateMismatch):
 		// The VM has accepted orders that this director does not know of, or is not ready
 		// yet. Reports lag behind, so query the VM a little later.
 		v.acceptedKnown = false
@@ -101,7 +101,7 @@
 			// The host may be copying for a previous director.
 			v.stagingUntil = now.Add(stagingRetryDelay)
 		}
-	case errors.Is(m.err, engine.ErrOldGeneration):
+	case errors.Is(m.err, engine.ErrStaleGeneration):
 		s.lastGeneration += generationSkip
 		s.abandon(now, m.order.Group, "a member has seen a higher generation")
 	default:
--- a/internal/director/batch_test.go
+++ b/internal/director/batch_test.go
@@ -30,12 +30,12 @@
 
 // Report implements engine.GroupEngine.
 func (unreachableEngine) Report(context.Context, *fleet.VM) (engine.Report, error) {
-	return engine.Report{}, engine.ErrNoAnswer
+	return engine.Report{}, engine.ErrNoResponse
 }
 
 // Order implements engine.GroupEngine.
 func (unreachableEngine) Order(context.Context, *fleet.VM, engine.GroupOrder) (bool, error) {
-	return false, engine.ErrNoAnswer
+	return false, engine.ErrNoResponse
 }
 
 // TestResponsesOfManyVMsAreEvaluatedTogether: a director evaluated all VMs after each single response to
@@ -58,7 +58,7 @@
 	}
 	wait(func() bool { return catalogs.reconciles.Load() > 0 })
 	for range responses {
-		n.d.send(orderResult{vm: &fleet.VM{ID: "vm-0-0"}, order: engine.GroupOrder{Operation: engine.Leave}, err: engine.ErrNoAnswer})
+		n.d.send(orderResult{vm: &fleet.VM{ID: "vm-0-0"}, order: engine.GroupOrder{Operation: engine.Leave}, err: engine.ErrNoResponse})
 	}
 	close(catalogs.gate)
 	wait(func() bool { return catalogs.reconciles.Load() >= responses })
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -243,7 +243,7 @@
 		started, err := d.parts.Engine.Order(ctx, vm, o)
 		d.parts.Metrics.Count("director.orders."+o.Operation.String(), 1)
 		d.parts.Log.Emit(event.OrderSent).Str("vm", vm.ID).Stringer("order", o.Operation).Str("group", o.Group).
-			Uint64("generation", o.Generation).Str("model", o.Model).Uint64("accepted_before", o.Accepted).
+			Uint64("generation", o.Generation).Str("model", o.Model).Uint64("accepted_before", o.AcceptedOrders).
 			Bool("begun", started).AnErr("refused", err).Send()
 		d.send(orderResult{vm: vm, order: o, started: started, err: err})
 	}()
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -373,7 +373,7 @@
 	vm := w.snapshot.VMs[vmID(0, 0)]
 	v := n.s.vm(vm.ID)
 	v.staging, v.stagingUntil = "big", w.now.Add(time.Hour)
-	n.s.handleOrderResult(w.now, orderResult{vm: vm, order: engine.GroupOrder{Operation: engine.Stage, Model: "big"}, err: engine.ErrDoesNotFit})
+	n.s.handleOrderResult(w.now, orderResult{vm: vm, order: engine.GroupOrder{Operation: engine.Stage, Model: "big"}, err: engine.ErrStateMismatch})
 	n.s.updateFromSnapshot(w.now.Add(time.Second))
 	if v.staging == "" {
 		t.Error("the host may be ordered to stage again after a second")
@@ -394,7 +394,7 @@
 	vm := w.snapshot.VMs[vmID(0, 0)]
 	w.vms[vm.ID].dead = true
 	for range maxFailures {
-		n.s.handleReport(w.now, reportResult{vm: vm, err: engine.ErrNoAnswer, requestedAt: w.now})
+		n.s.handleReport(w.now, reportResult{vm: vm, err: engine.ErrNoResponse, requestedAt: w.now})
 	}
 	later := w.now.Add(time.Minute)
 	if n.s.free(later, vm) || len(w.pending) != 1 {
@@ -440,7 +440,7 @@
 	membership := fleet.Membership{Group: "g", Generation: 1 << 20, Rank: 1, State: fleet.Joining, Model: "small"}
 	member.Membership, member.accepted = membership, 1
 	w.step(50 * time.Millisecond)
-	n.s.handleReport(w.now, reportResult{vm: w.snapshot.VMs[member.ID], requestedAt: w.now.Add(time.Millisecond), report: engine.Report{Accepted: 1}})
+	n.s.handleReport(w.now, reportResult{vm: w.snapshot.VMs[member.ID], requestedAt: w.now.Add(time.Millisecond), report: engine.Report{AcceptedOrders: 1}})
 	w.run(time.Second, func() bool { return false })
 	gs := n.s.groups["g"]
 	if gs == nil || !gs.incompleteSince.IsZero() || member.Group != "g" {
--- a/internal/director/groups.go
+++ b/internal/director/groups.go
@@ -30,7 +30,7 @@
 func (s *state) sendOrder(vm *fleet.VM, o engine.GroupOrder) {
 	v := s.vm(vm.ID)
 	v.callPending = true
-	o.Accepted = v.accepted
+	o.AcceptedOrders = v.accepted
 	s.vmCalls.order(vm, o)
 }
 
--- a/internal/director/late_entry_test.go
+++ b/internal/director/late_entry_test.go
@@ -19,7 +19,7 @@
 	n.s.groups["present"] = &groupState{}
 	vm := *w.snapshot.VMs[vmID(0, 0)]
 	v := n.s.vm(vm.ID)
-	n.s.handleReport(w.now, reportResult{vm: &vm, report: engine.Report{Born: vm.Born, Accepted: 4,
+	n.s.handleReport(w.now, reportResult{vm: &vm, report: engine.Report{Born: vm.Born, AcceptedOrders: 4,
 		Membership: fleet.Membership{Group: "present", Generation: 310, Rank: 1, State: fleet.Ready}}, requestedAt: w.now, reason: forProgress})
 	vm.Membership = fleet.Membership{Group: "former", Generation: 308, Rank: 1, State: fleet.Ready}
 	v.entry, v.entrySeenAt = &vm, w.now.Add(time.Second)
--- a/internal/director/lives_test.go
+++ b/internal/director/lives_test.go
@@ -32,7 +32,7 @@
 	if v.accepted != 0 || v.acceptedKnown {
 		t.Errorf("an order to the previous incarnation counts: %+v", *v)
 	}
-	n.s.handleReport(w.now, reportResult{vm: previous, requestedAt: w.now.Add(-time.Second), report: engine.Report{Accepted: 7, Born: previous.Born, Membership: fleet.Membership{Group: "g"}}})
+	n.s.handleReport(w.now, reportResult{vm: previous, requestedAt: w.now.Add(-time.Second), report: engine.Report{AcceptedOrders: 7, Born: previous.Born, Membership: fleet.Membership{Group: "g"}}})
 	if v.acceptedKnown || n.s.membership(w.snapshot.VMs[e.ID]).Group != "" {
 		t.Errorf("a late report of the previous incarnation counts: %+v", *v)
 	}
@@ -49,7 +49,7 @@
 	vm := *w.snapshot.VMs[vmID(0, 0)]
 	v := n.s.vm(vm.ID)
 	v.accepted, v.acceptedKnown = 3, true
-	n.s.handleReport(w.now.Add(time.Second), reportResult{vm: &vm, requestedAt: w.now.Add(time.Second), report: engine.Report{Accepted: 1, Born: 50}})
+	n.s.handleReport(w.now.Add(time.Second), reportResult{vm: &vm, requestedAt: w.now.Add(time.Second), report: engine.Report{AcceptedOrders: 1, Born: 50}})
 	if v.born != 50 || v.accepted != 1 {
 		t.Fatalf("the report of the new incarnation is not used: %+v", *v)
 	}
--- a/internal/director/world_test.go
+++ b/internal/director/world_test.go
@@ -165,9 +165,9 @@
 	n.w.pending = append(n.w.pending, func() {
 		m := reportResult{vm: vm, requestedAt: requestedAt, reason: reason}
 		if e == nil || e.dead || e.unresponsive {
-			m.err = engine.ErrNoAnswer
+			m.err = engine.ErrNoResponse
 		} else {
-			m.report = engine.Report{Accepted: e.accepted, Born: e.Born, Membership: e.Membership}
+			m.report = engine.Report{AcceptedOrders: e.accepted, Born: e.Born, Membership: e.Membership}
 		}
 		if !n.down {
 			n.s.handleReport(n.w.now, m)
@@ -186,15 +186,15 @@
 		m := orderResult{vm: vm, order: o}
 		switch {
 		case e == nil || e.dead || e.unresponsive:
-			m.err = engine.ErrNoAnswer
+			m.err = engine.ErrNoResponse
 		case outcome == executedLate:
 			due := w.now.Add(2 * time.Second)
 			w.runAt(due, func() { _, _ = w.execute(e, o) })
-			m.err = engine.ErrNoAnswer
+			m.err = engine.ErrNoResponse
 		default:
 			m.started, m.err = w.execute(e, o)
 			if outcome == executedUnanswered {
-				m.err = engine.ErrNoAnswer
+				m.err = engine.ErrNoResponse
 			}
 		}
 		if !n.down {
@@ -219,17 +219,17 @@
 // execute carries out an order as the platform's VMs do, and checks the safety properties.
 func (w *world) execute(e *engineVM, o engine.GroupOrder) (bool, error) {
 	if e.dead {
-		return false, engine.ErrNoAnswer
+		return false, engine.ErrNoResponse
 	}
-	if o.Accepted != e.accepted {
-		return false, engine.ErrDoesNotFit
+	if o.AcceptedOrders != e.accepted {
+		return false, engine.ErrStateMismatch
 	}
 	model, _ := w.catalog.Service("llm").Engine.Model(o.Model)
 	inGroup := e.Group == o.Group && e.Generation == o.Generation
 	switch o.Operation {
 	case engine.Join:
 		if o.Generation < e.Generation {
-			return false, engine.ErrOldGeneration
+			return false, engine.ErrStaleGeneration
 		}
 		w.checkMove(e, o)
 		w.sizes[o.Group], w.heads[o.Group] = model.Size, o.Members[0]
@@ -247,13 +247,13 @@
 		e.lastModel = o.Model
 	case engine.OpenHead:
 		if !inGroup || e.State != fleet.Ready {
-			return false, engine.ErrDoesNotFit
+			return false, engine.ErrStateMismatch
 		}
 		w.checkOpen(o)
 		e.State = fleet.Open
 	case engine.CloseHead, engine.CloseHeadNow:
 		if !inGroup || (e.State != fleet.Open && e.State != fleet.Closing) {
-			return false, engine.ErrDoesNotFit
+			return false, engine.ErrStateMismatch
 		}
 		e.State = fleet.Ready
 		if w.now.Before(e.busyUntil) {
@@ -265,7 +265,7 @@
 		}
 	case engine.Leave:
 		if !inGroup || e.State == fleet.Open {
-			return false, engine.ErrDoesNotFit
+			return false, engine.ErrStateMismatch
 		}
 		w.checkWork(e, o)
 		e.Membership = fleet.Membership{}
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -10,16 +10,16 @@
 
 // Errors of calls to VMs that form groups by themselves.
 var (
-	// ErrDoesNotFit means that the order is not possible in the VM's state, or
+	// ErrStateMismatch means that the order is not possible in the VM's state, or
 	// that the VM has accepted orders that the sender does not know.
-	ErrDoesNotFit = errors.New("order does not fit the VM's state")
-	// ErrOldGeneration means that the VM has seen a higher generation of the group.
-	ErrOldGeneration = errors.New("order has an old generation")
+	ErrStateMismatch = errors.New("order does not fit the VM's state")
+	// ErrStaleGeneration means that the VM has seen a higher generation of the group.
+	ErrStaleGeneration = errors.New("order has an old generation")
 	// ErrOtherVM means that another VM responded at the address.
 	ErrOtherVM = errors.New("another VM has the address")
-	// ErrNoAnswer means that no valid response was received: the order may have been
+	// ErrNoResponse means that no valid response was received: the order may have been
 	// executed, or may still be.
-	ErrNoAnswer = errors.New("order was not answered")
+	ErrNoResponse = errors.New("no valid response from the VM")
 )
 
 // Operation is the kind of an order.
@@ -55,16 +55,16 @@
 	Model string
 	// Members are the IDs of the group's VMs, indexed by rank. They are set for Join.
 	Members []string
-	// Accepted is the number of orders that the VM must have accepted before this
+	// AcceptedOrders is the number of orders that the VM must have accepted before this
 	// one. The VM refuses an order that arrives late, after others.
-	Accepted uint64
+	AcceptedOrders uint64
 }
 
 // Report is the state that a VM reports.
 type Report struct {
-	// Accepted is the number of orders that the VM has accepted in its present
+	// AcceptedOrders is the number of orders that the VM has accepted in its present
 	// incarnation.
-	Accepted uint64
+	AcceptedOrders uint64
 	// Born is the start time of the incarnation, as in fleet.VM.
 	Born    int64
 	Running int
--- a/internal/platform/httpapi/httpapi.go
+++ b/internal/platform/httpapi/httpapi.go
@@ -21,11 +21,11 @@
 
 // Wire paths and headers of the platform's protocol.
 const (
-	ObjectsPath = "/v1/objects/"
-	ListPath    = "/v1/list"
-	WatchPath   = "/v1/watch"
-	MembersPath = "/v1/members"
-	BaseHeader  = "If-Version"
+	ObjectsPath       = "/v1/objects/"
+	ListPath          = "/v1/list"
+	WatchPath         = "/v1/watch"
+	MembersPath       = "/v1/members"
+	BaseVersionHeader = "If-Version"
 )
 
 // Object is the wire format of one object.
@@ -155,7 +155,7 @@
 	}
 	// net/http treats a PUT as replayable; without GetBody it sends the call only once.
 	req.GetBody = nil
-	req.Header.Set(BaseHeader, strconv.FormatUint(base, 10))
+	req.Header.Set(BaseVersionHeader, strconv.FormatUint(base, 10))
 	resp, err := c.do(req)
 	if err != nil && !connected {
 		return platform.Object{}, errors.Mark(err, platform.ErrUnavailable)
--- a/test/standin/platform/platform.go
+++ b/test/standin/platform/platform.go
@@ -260,7 +260,7 @@
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request, key string) {
-	base, err := strconv.ParseUint(r.Header.Get(httpapi.BaseHeader), 10, 64)
+	base, err := strconv.ParseUint(r.Header.Get(httpapi.BaseVersionHeader), 10, 64)
 	value, readErr := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
 	if err != nil || readErr != nil || !json.Valid(value) || len(value) > maxValueBytes {
 		w.WriteHeader(http.StatusBadRequest)
