--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// Request is what the decision knows of one request.
+// Request holds the properties of a request that decide whether an engine admits it.
 type Request struct {
-	// Prompt is its prompt tokens.
-	Prompt float64
-	// Objective is the time to the first event within which an answer counts as in
-	// time, from the caller's first try; zero for none.
+	// PromptTokens is the number of tokens in the request's prompt.
+	PromptTokens float64
+	// Objective is the target for the time from the caller's first attempt to the first
+	// event of the response; zero means that there is no target.
 	Objective time.Duration
-	// Spent is how much of it is over.
-	Spent time.Duration
-	// Kept is the part, 0 to 1, of the time that an idle engine leaves of the
-	// objective that is kept for more urgent requests: less urgent ones wait less, and
-	// are turned away first.
-	Kept float64
+	// Elapsed is the time since the caller's first attempt.
+	Elapsed time.Duration
+	// Reserved is the fraction, 0 to 1, of the slack that is reserved for more urgent requests.
+	// The slack is the objective less the time to the first event on an idle engine. A less
+	// urgent request may use less of it for waiting, and so is rejected first.
+	Reserved float64
 }
 
 const (
-	// idleShare is the part of the slots below which an engine without unread
-	// prompts takes any request: there is nothing to be gained by turning it away,
-	// and its first event corrects the offset.
+	// idleShare is the fraction of the slots in use below which an engine without
+	// unread prompts admits any request: rejecting it would gain nothing, and its first
+	// event corrects the offset.
 	idleShare = 0.5
-	// lateShare is the part of the objective within which a usual request that
-	// comes right after one that is late in any case must still get its first
-	// event: late ones use what is left and keep nobody else from being in time.
-	lateShare = 0.85
+	// lateAdmissionShare is the fraction of the objective within which a typical
+	// request that arrives right after a late one must still get its first event. Late
+	// requests may use only spare capacity, so that they make no other request late.
+	lateAdmissionShare = 0.85
 )
 
-// Admit reports whether an engine takes a request, with the offset learned for its
-// model. A request that can still be in time is taken when it is expected to be;
-// one that is late in any case only where it keeps none from being in time. The
-// part of a long prompt above the usual one does not count against its request:
-// long ones are not to be served less often than others.
-func (e Engine) Admit(w Work, r Request, offset time.Duration) bool {
-	if !e.Known() || r.Objective <= 0 {
+// Admit reports whether an engine admits a request, given the offset learned for its
+// model. A request that can still meet its objective is admitted if the prediction says
+// that it will. A request that would be late even on an idle engine is admitted only if
+// it makes no other request late. Prompt tokens above the mean prompt length do not count
+// against their own request, so that long prompts are not served less often than short
+// ones.
+func (e Engine) Admit(load Load, r Request, offset time.Duration) bool {
+	if !e.CanPredict() || r.Objective <= 0 {
 		return true
 	}
-	if w.Unread == 0 && float64(w.InFlight) < idleShare*float64(e.Slots) {
+	if load.UnreadTokens == 0 && float64(load.InFlight) < idleShare*float64(e.Slots) {
 		return true
 	}
-	if e.First(Work{}, e.UsualPrompt)+offset > r.Objective {
-		// Nobody can be in time here; late answers are better than none.
-		return w.InFlight < e.Slots
+	if e.TimeToFirstEvent(Load{}, e.MeanPrompt)+offset > r.Objective {
+		// No request can meet the objective here; late responses are better than none.
+		return load.InFlight < e.Slots
 	}
-	prompt := min(r.Prompt, e.UsualPrompt)
-	soonest := e.First(Work{}, prompt) + offset
-	kept := time.Duration(r.Kept * float64(max(r.Objective-soonest, 0)))
-	left := r.Objective - kept - r.Spent
-	if soonest <= left {
-		return e.First(w, prompt)+offset <= left
+	prompt := min(r.PromptTokens, e.MeanPrompt)
+	idleFirst := e.TimeToFirstEvent(Load{}, prompt) + offset
+	reserved := time.Duration(r.Reserved * float64(max(r.Objective-idleFirst, 0)))
+	left := r.Objective - reserved - r.Elapsed
+	if idleFirst <= left {
+		return e.TimeToFirstEvent(load, prompt)+offset <= left
 	}
-	after := Work{InFlight: w.InFlight + 1, Unread: w.Unread + r.Prompt, Pass: w.Pass}
-	spare := time.Duration(lateShare * float64(r.Objective))
-	return w.InFlight < e.Slots && e.First(after, e.UsualPrompt)+offset <= spare
+	after := Load{InFlight: load.InFlight + 1, UnreadTokens: load.UnreadTokens + r.PromptTokens, PassTime: load.PassTime}
+	spare := time.Duration(lateAdmissionShare * float64(r.Objective))
+	return load.InFlight < e.Slots && e.TimeToFirstEvent(after, e.MeanPrompt)+offset <= spare
 }
