--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,13 +16,14 @@
 	// ErrConflict means that the object's version was not the expected one;
 	// the write had no effect.
 	ErrConflict = errors.New("object version conflict")
-	// ErrUnavailable means that the call was refused or never sent; a write
-	// had no effect.
+	// ErrUnavailable means that a read failed, or that a write was refused or
+	// never sent and so had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrCompacted means that the store has discarded the changes since the
 	// revision; the reader must list again.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrUnchanged means that the caller already has the newest version.
+	// ErrUnchanged means that the caller already has the newest version of the
+	// membership list.
 	ErrUnchanged = errors.New("unchanged")
 	// ErrUnknown means that a write may or may not have had an effect.
 	ErrUnknown = errors.New("outcome of write unknown")
@@ -57,7 +58,8 @@
 
 // The states of a member.
 const (
-	Live    MemberState = "live"
+	Live MemberState = "live"
+	// Leaving members must get no new work.
 	Leaving MemberState = "leaving"
 )
 
