--- a/internal/platform/httpapi/httpapi.go
+++ b/internal/platform/httpapi/httpapi.go
@@ -21,10 +21,12 @@
 
 // Wire paths and headers of the platform's protocol.
 const (
-	ObjectsPath       = "/v1/objects/"
-	ListPath          = "/v1/list"
-	WatchPath         = "/v1/watch"
-	MembersPath       = "/v1/members"
+	ObjectsPath = "/v1/objects/"
+	ListPath    = "/v1/list"
+	WatchPath   = "/v1/watch"
+	MembersPath = "/v1/members"
+	// BaseVersionHeader is the version that the object of a write must have; 0
+	// means that it must not exist.
 	BaseVersionHeader = "If-Version"
 )
 
@@ -194,7 +196,7 @@
 }
 
 // statusError maps a status to a sentinel error. It uses the fallback for statuses
-// for which the protocol does not guarantee that the call had no effect.
+// that leave open whether a write had an effect.
 func statusError(resp *http.Response, fallback error) error {
 	kind := fallback
 	switch resp.StatusCode {
