--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
 // Package engine defines the interface to upstream VMs for probes and orders.
-// Requests are sent by package relay.
+// Package relay sends them the callers' requests.
 package engine
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/marbleroad/marbleroad/internal/presence"
 )
 
-// ErrFenced means that the engine refused an order with an old fencing token.
+// ErrFenced means that the VM refused an order with an old fencing token.
 var ErrFenced = errors.New("order refused: fencing token is old")
 
 // Order assigns one VM to a group, or releases it.
@@ -32,6 +32,7 @@
 type Engine interface {
 	// Probe queries the VM's state. The caller sets SentAt and VM of the result.
 	Probe(ctx context.Context, address string) (presence.ProbeResult, error)
-	// Assign sends an order. It returns ErrFenced if the VM refused it for its old fencing token.
+	// Assign sends an order. It returns ErrFenced if the VM refused it because of its old
+	// fencing token.
 	Assign(ctx context.Context, address string, order Order) error
 }
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -17,8 +17,8 @@
 	ErrStaleGeneration = errors.New("order has an old generation")
 	// ErrOtherVM means that another VM responded at the address.
 	ErrOtherVM = errors.New("another VM has the address")
-	// ErrNoResponse means that no valid response was received: the order may have been
-	// executed, or may still be.
+	// ErrNoResponse means that no valid response was received, or one with an unexpected
+	// status: the order may have been executed, or may still be.
 	ErrNoResponse = errors.New("no valid response from the VM")
 )
 
@@ -56,7 +56,8 @@
 	// Members are the IDs of the group's VMs, indexed by rank. They are set for Join.
 	Members []string
 	// AcceptedOrders is the number of orders that the VM must have accepted before this
-	// one. The VM refuses an order that arrives late, after others.
+	// one. The VM refuses an order with another number, such as one that arrives after
+	// later orders.
 	AcceptedOrders uint64
 }
 
@@ -78,7 +79,8 @@
 // GroupEngine sends the director's calls to VMs that form groups.
 // Implementations are safe for concurrent use.
 type GroupEngine interface {
-	// Report queries the VM's state. It returns ErrOtherVM if the incarnation has terminated.
+	// Report queries the VM's state. It returns ErrOtherVM if another VM responds at the
+	// address.
 	Report(ctx context.Context, vm *fleet.VM) (Report, error)
 	// Order sends an order. It returns true if the VM counts the order as accepted, and
 	// false if the VM was already in the requested state.
