--- a/internal/engine/httpapi/httpapi.go
+++ b/internal/engine/httpapi/httpapi.go
@@ -1,5 +1,5 @@
 // Package httpapi is the HTTP adapter of the engine interface. VMs of plain services
-// respond to the same probe, with only the load fields set.
+// respond to the same probe, without the fields that describe a group.
 package httpapi
 
 import (
@@ -21,6 +21,7 @@
 	AssignPath = "/v1/assign"
 )
 
+// maxResponseBytes bounds how much of a response is read.
 const maxResponseBytes = 64 << 10
 
 // Status is the wire format of the response to a probe.
