--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog holds the operators' configuration as one versioned whole:
+// Package catalog holds the operators' configuration under one version:
 // routes, services, models and teams. A Catalog is immutable once built, so
 // any goroutine may read it.
 package catalog
@@ -15,20 +15,20 @@
 // ErrInvalid marks a configuration that cannot be put in force.
 var ErrInvalid = errors.New("invalid catalog")
 
-// Kind says how often a route's requests may run.
+// Kind tells whether a route's requests may run more than once, and whether their responses are streams.
 type Kind uint8
 
 const (
 	// NonIdempotent requests run at most once. It is the zero value, so that a
-	// route without a known kind is treated with the greatest care.
+	// route without a known kind gets the safest treatment.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered with a sequence of events.
+	// Stream requests have a sequence of events as their response.
 	Stream
 )
 
-// String returns the kind's name in logs.
+// String returns the kind's name as logs have it.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -39,33 +39,33 @@
 	return "non-idempotent"
 }
 
-// Target is one service that a route sends to.
+// Target is one service to which a route sends requests.
 type Target struct {
 	Service string
-	// Weight is the target's part of the route's requests, relative to the others.
+	// Weight is the target's share of the route's requests, relative to the other targets.
 	Weight int
 }
 
-// Route says what happens to requests of one host and path prefix.
+// Route defines how requests of one host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix starts and ends with a slash.
 	Prefix string
 	Kind   Kind
 	// Resumable streams may be continued at another upstream.
 	Resumable bool
-	// Timeout bounds the whole request.
+	// Timeout bounds the total duration of a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first
-	// event, earns its full worth.
+	// Objective is the time within which a response, or a stream's first
+	// event, counts as on time.
 	Objective time.Duration
 	// PauseObjective is the longest pause between a stream's events that still
 	// counts as on time; zero for none.
 	PauseObjective time.Duration
-	// Priority is the rank of the requests; 0 is the highest.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Attempts is how many upstreams may run one request at most.
+	// Attempts is the maximum number of upstreams that may run one request.
 	Attempts int
 	// Public routes need no key.
 	Public  bool
@@ -82,14 +82,14 @@
 	Name string
 	// Size is the number of VMs of a group.
 	Size int
-	// Share is the model's expected part of the service's work, counted in VMs,
-	// 0 to 1.
+	// Share is the expected fraction of the service's VMs that the model's work
+	// takes, 0 to 1.
 	Share float64
-	// Pace is a factor on all times of the group; below 1 is faster.
+	// Pace is a factor by which all times of the group are multiplied; below 1 is faster.
 	Pace float64
 	// LoadTime is how long a VM takes to load the weights from the weight store.
 	LoadTime time.Duration
-	// WarmTime is how long it takes from a copy on its host.
+	// WarmTime is how long a VM takes to load the weights from a copy on its host.
 	WarmTime time.Duration
 }
 
@@ -97,27 +97,27 @@
 type Engine struct {
 	// Slots is how many requests a group runs at once.
 	Slots int
-	// StepTime is the time of one token step, and PerSequence what each
+	// StepTime is the duration of one token step, and PerSequence the time that each
 	// running request adds to it.
 	StepTime    time.Duration
 	PerSequence time.Duration
 	// ReadPerSecond is how many prompt tokens are read in a second.
 	ReadPerSecond float64
-	// Chunk is how many prompt tokens are read in one step at most; 0 while unknown.
+	// Chunk is the maximum number of prompt tokens that one step reads; 0 while unknown.
 	Chunk int
-	// Stride is how many steps one pass has.
+	// Stride is the number of token steps in one pass.
 	Stride int
 	// LoadsAtOnce is how many loads from the weight store run at full speed.
 	LoadsAtOnce int
 	// UsualPrompt and UsualAnswer are mean token counts.
 	UsualPrompt float64
 	UsualAnswer float64
-	// FormTime is how long the head takes to open.
+	// FormTime is how long a head takes until it accepts requests.
 	FormTime time.Duration
 	Models   []Model
 }
 
-// Model finds a model by name.
+// Model returns the model of the given name.
 func (e *Engine) Model(name string) (Model, bool) {
 	for _, m := range e.Models {
 		if m.Name == name {
@@ -127,26 +127,26 @@
 	return Model{}, false
 }
 
-// Service is one set of equal upstreams.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string
-	// HealthPath answers health checks.
+	// HealthPath is the path of the upstreams' health check.
 	HealthPath string
-	// MaxConnections is how many connections one upstream takes from all callers.
+	// MaxConnections is how many connections one upstream accepts from all callers together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// LongestTimeout is the longest time that a route gives a request to the service; filled in by New.
+	// LongestTimeout is the longest timeout of any route to the service; New fills it in.
 	LongestTimeout time.Duration
-	// TopPriority is the highest rank (lowest number) of any route to the service
+	// TopPriority is the highest priority (lowest number) of any route to the service
 	// or of any team; New fills it in.
 	TopPriority int
 }
 
-// Team is a holder of keys.
+// Team is a group of callers with API keys of its own.
 type Team struct {
 	Name string
-	// Priority takes the place of the route's; nil leaves the route's.
+	// Priority overrides the route's priority; nil keeps the route's.
 	Priority *int
 }
 
@@ -158,15 +158,15 @@
 	IdleTimeout    time.Duration
 }
 
-// Content is what a Catalog is built from.
+// Content is the input from which New builds a Catalog.
 type Content struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keys maps each key to its team. A nil map means that no keys are asked for.
+	// Keys maps each key to its team. A nil map means that no route needs a key.
 	Keys map[string]Team
-	// Document is what this was decoded from, for nodes that follow this one.
+	// Document is the encoded form that this was decoded from, for nodes that read the configuration from this one.
 	Document []byte
 }
 
@@ -181,7 +181,7 @@
 	document []byte
 }
 
-// New checks the content and indexes it. The error is marked ErrInvalid.
+// New validates the content and indexes it. Its errors are marked ErrInvalid.
 func New(c Content) (*Catalog, error) {
 	out := &Catalog{
 		version:  c.Version,
@@ -200,17 +200,17 @@
 			return nil, err
 		}
 	}
-	out.rank(c.Routes)
+	out.setTopPriorities(c.Routes)
 	return out, nil
 }
 
-// Document is the operators' document that the catalog was decoded from.
+// Document returns the operators' document that the catalog was decoded from.
 func (c *Catalog) Document() []byte { return c.document }
 
-// rank finds each service's highest priority.
-func (c *Catalog) rank(routes []Route) {
+// setTopPriorities sets each service's highest priority.
+func (c *Catalog) setTopPriorities(routes []Route) {
 	seen := make(map[string]bool)
-	note := func(s *Service, priority int) {
+	record := func(s *Service, priority int) {
 		if !seen[s.Name] || priority < s.TopPriority {
 			s.TopPriority = priority
 		}
@@ -218,7 +218,7 @@
 	}
 	for _, r := range routes {
 		for _, t := range r.Targets {
-			note(c.services[t.Service], r.Priority)
+			record(c.services[t.Service], r.Priority)
 		}
 	}
 	for _, team := range c.keys {
@@ -226,22 +226,22 @@
 			continue
 		}
 		for _, s := range c.services {
-			note(s, *team.Priority)
+			record(s, *team.Priority)
 		}
 	}
 }
 
 func (c *Catalog) addRoute(r *Route) error {
 	if len(r.Prefix) == 0 || r.Prefix[0] != '/' || r.Prefix[len(r.Prefix)-1] != '/' {
-		return errors.Wrapf(ErrInvalid, "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
+		return errors.Wrapf(ErrInvalid, "route %s: prefix %q must start and end with a slash", r.Name, r.Prefix)
 	}
 	if len(r.Targets) == 0 {
-		return errors.Wrapf(ErrInvalid, "route %s has no service", r.Name)
+		return errors.Wrapf(ErrInvalid, "route %s has no target services", r.Name)
 	}
 	for _, t := range r.Targets {
 		service := c.services[t.Service]
 		if service == nil {
-			return errors.Wrapf(ErrInvalid, "route %s: no service %q", r.Name, t.Service)
+			return errors.Wrapf(ErrInvalid, "route %s: service %q does not exist", r.Name, t.Service)
 		}
 		service.LongestTimeout = max(service.LongestTimeout, r.Timeout)
 	}
@@ -254,16 +254,16 @@
 	return nil
 }
 
-// Version is the configuration's version; higher is newer.
+// Version returns the configuration's version; higher is newer.
 func (c *Catalog) Version() uint64 { return c.version }
 
-// Limits are the bounds on what callers may send.
+// Limits returns the bounds on what callers may send.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// RouteCount is the number of routes.
+// RouteCount returns the number of routes.
 func (c *Catalog) RouteCount() int { return c.routes }
 
-// Routes lists all routes, by host and prefix. They must not be changed.
+// Routes returns all routes, sorted by host and prefix. They must not be changed.
 func (c *Catalog) Routes() []*Route {
 	out := make([]*Route, 0, c.routes)
 	for _, byPrefix := range c.hosts {
@@ -280,7 +280,7 @@
 	return out
 }
 
-// Teams lists the names of the teams that hold keys.
+// Teams returns the sorted names of the teams that have keys.
 func (c *Catalog) Teams() []string {
 	names := make(map[string]bool)
 	for _, t := range c.keys {
@@ -292,20 +292,20 @@
 // KeysAsked reports whether routes that are not public need a key.
 func (c *Catalog) KeysAsked() bool { return c.keys != nil }
 
-// Team finds the team that holds a key.
+// Team returns the team that a key belongs to.
 func (c *Catalog) Team(key string) (Team, bool) {
 	t, ok := c.keys[key]
 	return t, ok
 }
 
-// Service finds a service; nil when there is none.
+// Service returns the service of the given name; nil when there is none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
 // Services returns all services by name. The map must not be changed.
 func (c *Catalog) Services() map[string]*Service { return c.services }
 
-// Match finds the route of the host with the longest prefix that begins the
-// path, which is taken byte for byte as the caller sent it; nil for none.
+// Match returns the host's route with the longest prefix that matches the
+// path; nil for none. The path is compared byte for byte as the caller sent it.
 func (c *Catalog) Match(host, path string) *Route {
 	byPrefix := c.hosts[host]
 	if byPrefix == nil {
@@ -328,10 +328,10 @@
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, t := range r.Targets {
-		left -= float64(max(t.Weight, 0))
-		if left < 0 {
+		remaining -= float64(max(t.Weight, 0))
+		if remaining < 0 {
 			return t.Service
 		}
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if c.Match("other", "/a/") != nil {
-		t.Error("a route of another host")
+		t.Error("the path matched a route of another host")
 	}
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestTopPriority is that of the most urgent route or team.
+// TestTopPriority checks that a service's top priority is that of its most urgent route or of any team.
 func TestTopPriority(t *testing.T) {
 	zero := 0
 	c := Content{Services: []Service{{Name: "s"}, {Name: "p"}}, Routes: []Route{
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestBadCatalogsAreRefused(t *testing.T) {
+func TestInvalidCatalogsAreRejected(t *testing.T) {
 	for name, r := range map[string]Route{
 		"no slash":   {Prefix: "/a", Targets: []Target{{"s", 1}}},
 		"no service": {Prefix: "/a/"},
@@ -85,30 +85,30 @@
 	}
 }
 
-// TestUnknownKindIsNonIdempotent: the zero value is the careful one.
+// TestUnknownKindIsNonIdempotent checks that requests of a route without a known kind are not repeated.
 func TestUnknownKindIsNonIdempotent(t *testing.T) {
 	if (&Route{}).Repeatable() || (&Route{Kind: Stream}).Repeatable() || !(&Route{Kind: Stream, Resumable: true}).Repeatable() {
-		t.Error("wrong kinds may be repeated")
+		t.Error("Repeatable is wrong for a kind")
 	}
 }
 
-// script answers the keeper's calls in order and then fails for good.
+// script returns scripted responses to the cache's calls in order; every later call fails.
 type script struct {
-	answers []answer
-	calls   []string
-	done    chan struct{}
+	responses []response
+	calls     []string
+	done      chan struct{}
 }
 
-type answer struct {
-	c        *Catalog
+type response struct {
+	catalog  *Catalog
 	revision uint64
 	err      error
 }
 
 func (s *script) next(call string) (Watched, error) {
-	asked := time.Now()
+	sentAt := time.Now()
 	s.calls = append(s.calls, call)
-	if len(s.answers) == 0 {
+	if len(s.responses) == 0 {
 		select {
 		case <-s.done:
 		default:
@@ -116,9 +116,9 @@
 		}
 		return Watched{}, platform.ErrUnavailable
 	}
-	a := s.answers[0]
-	s.answers = s.answers[1:]
-	return Watched{Catalog: a.c, Revision: a.revision, ProvenAt: asked}, a.err
+	r := s.responses[0]
+	s.responses = s.responses[1:]
+	return Watched{Catalog: r.catalog, Revision: r.revision, ProvenAt: sentAt}, r.err
 }
 
 func (s *script) Current(context.Context) (Watched, error) { return s.next("current") }
@@ -126,37 +126,38 @@
 	return s.next("changed")
 }
 
-// TestVersionNeverFalls: also not through a new listing after lost history.
-func TestVersionNeverFalls(t *testing.T) {
-	s := &script{done: make(chan struct{}), answers: []answer{
+// TestVersionNeverDecreases checks that an older version is never adopted, neither from a watch
+// nor from the read that follows a compacted history.
+func TestVersionNeverDecreases(t *testing.T) {
+	s := &script{done: make(chan struct{}), responses: []response{
 		{err: platform.ErrNotFound},
-		{c: build(t, 5, "/a/"), revision: 10},
-		{c: build(t, 3, "/old/"), revision: 11},
+		{catalog: build(t, 5, "/a/"), revision: 10},
+		{catalog: build(t, 3, "/old/"), revision: 11},
 		{err: platform.ErrCompacted},
-		{c: build(t, 4, "/old/"), revision: 12},
-		{c: build(t, 9, "/b/"), revision: 13},
+		{catalog: build(t, 4, "/old/"), revision: 12},
+		{catalog: build(t, 9, "/b/"), revision: 13},
 	}}
 	log, err := event.New(io.Discard, "error", "n", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := NewKeeper(s, log, time.Millisecond)
+	c := NewKeeper(s, log, time.Millisecond)
 	var adopted []uint64
-	k.OnChange(func() { adopted = append(adopted, k.Catalog().Version()) })
-	if k.ProvenAge(time.Now()) < time.Hour {
-		t.Error("proven before the first reading")
+	c.OnChange(func() { adopted = append(adopted, c.Catalog().Version()) })
+	if c.ProvenAge(time.Now()) < time.Hour {
+		t.Error("the catalog counts as verified before the first read")
 	}
-	if err := k.Start(context.Background()); err != nil {
+	if err := c.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	<-s.done
-	if err := k.Stop(context.Background()); err != nil {
+	if err := c.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if len(adopted) != 2 || adopted[0] != 5 || adopted[1] != 9 {
-		t.Errorf("adopted %v", adopted)
+		t.Errorf("adopted versions %v, want 5 and 9", adopted)
 	}
 	if s.calls[4] != "current" {
-		t.Errorf("after lost history: %v", s.calls)
+		t.Errorf("calls %v: want a read after the compacted history", s.calls)
 	}
 }
--- a/internal/catalog/keeper.go
+++ b/internal/catalog/keeper.go
@@ -14,10 +14,10 @@
 	"github.com/marbleroad/marbleroad/internal/wait"
 )
 
-// KeeperName is the keeper's name in the kernel.
+// KeeperName is the name under which the cache runs in the kernel.
 const KeeperName = "catalog"
 
-// Source reads the configuration from where operators put it.
+// Source reads the configuration from the place where operators store it.
 type Source interface {
 	// Current returns the newest configuration. While there is none it returns
 	// platform.ErrNotFound, with the revision if that is known.
@@ -27,228 +27,235 @@
 	Changed(ctx context.Context, revision uint64, wait time.Duration) (Watched, error)
 }
 
-// Watched is the end of one reading of the configuration, or of one wait for a newer one.
+// Watched is the result of one read of the configuration, or of one wait for a newer one.
 type Watched struct {
 	// Catalog is the newest configuration; nil when there was no newer one.
 	Catalog *Catalog
-	// Revision is the source's: a wait for what comes after it misses no change.
+	// Revision is the source's revision; a watch that starts from it misses no change.
 	Revision uint64
-	// ProvenAt is when the call that proved this was sent.
+	// ProvenAt is when the call was sent whose response verified this result.
 	ProvenAt time.Time
 }
 
 const (
-	// retryPause is the first pause after a failed call, mostRetryPause the longest:
-	// with jitter it is at most 0.8 s, which is short beside the bound on a change
-	// (2 s and more), and hundreds of nodes don't press a store that is away.
-	retryPause     = 100 * time.Millisecond
-	mostRetryPause = 400 * time.Millisecond
-	// firstReadPause is the first pause while there is no configuration yet.
-	firstReadPause = 50 * time.Millisecond
+	// minRetryPause is the first pause after a failed call and maxRetryPause the longest.
+	// With jitter a pause is at most 0.8 s, which is short compared with the bound on
+	// applying a change (2 s and more), and hundreds of nodes don't overload a store
+	// that is unreachable.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
+	// minFirstReadPause is the first pause while there is no configuration yet.
+	minFirstReadPause = 50 * time.Millisecond
 )
 
-// Keeper keeps the newest catalog that this process has seen. Invariant: the
-// version in force never falls while the process lives.
+// Keeper caches the newest catalog that this process has seen and refreshes it from a
+// source. Invariant: the version in force never decreases during the process's lifetime.
 type Keeper struct {
 	source Source
 	log    *event.Logger
 	// wait is how long one call waits for a change. A call that returns without
-	// one proves that the catalog was current when the call was sent.
+	// one verifies that the catalog was current when the call was sent.
 	wait time.Duration
 
-	current  atomic.Pointer[Catalog]
-	proof    atomic.Pointer[proof]
-	onChange []func()
-	onReturn []func()
+	current      atomic.Pointer[Catalog]
+	verification atomic.Pointer[verification]
+	onChange     []func()
+	onReturn     []func()
 
-	running wait.Loop
-	lost    bool
+	refresher wait.Loop
+	// disconnected is true after a failed call, until the source responds again.
+	disconnected bool
 
 	mu sync.Mutex
-	// news is closed and replaced when the catalog or its proof changes.
-	news chan struct{}
+	// updated is closed and replaced when the catalog or its verification changes.
+	updated chan struct{}
 }
 
-// neverProven is the age of a proof that there never was.
-const neverProven = time.Duration(1<<63 - 1)
+// neverVerified is the age of a verification that has not happened yet.
+const neverVerified = time.Duration(1<<63 - 1)
 
-// proof is what showed that the catalog in force, or that there is none, is the newest word.
-type proof struct {
+// verification records that the catalog in force, or its absence, was the newest state.
+type verification struct {
 	at time.Time
-	// revision is the source's, up to which all changes were seen.
+	// revision is the source's revision up to which all changes were seen.
 	revision uint64
 }
 
-// Known is what a keeper knows at one moment.
+// Known is the state of a cache at one moment.
 type Known struct {
 	// Version is the version in force; zero while there is none.
 	Version uint64
-	// Revision is the source's, up to which all changes were seen.
+	// Revision is the source's revision up to which all changes were seen.
 	Revision uint64
-	// ProvenAge is how long ago that was asked for.
+	// ProvenAge is the time since the call was sent that last verified the version.
 	ProvenAge time.Duration
 }
 
-// NewKeeper returns a keeper that asks the source with the given waiting time.
+// NewKeeper returns a cache that watches the source with calls of the given waiting time.
 func NewKeeper(source Source, log *event.Logger, watchWait time.Duration) *Keeper {
-	return &Keeper{source: source, log: log, wait: watchWait, news: make(chan struct{})}
+	return &Keeper{source: source, log: log, wait: watchWait, updated: make(chan struct{})}
 }
 
 // OnChange registers a function that is called after each adoption. It must be
 // called before Start.
-func (k *Keeper) OnChange(f func()) { k.onChange = append(k.onChange, f) }
+func (c *Keeper) OnChange(f func()) { c.onChange = append(c.onChange, f) }
 
-// OnReturn registers a function that is called when the source answers again after it did not. It
-// must be called before Start.
-func (k *Keeper) OnReturn(f func()) { k.onReturn = append(k.onReturn, f) }
+// OnReturn registers a function that is called when the source responds again after a failure.
+// It must be called before Start.
+func (c *Keeper) OnReturn(f func()) { c.onReturn = append(c.onReturn, f) }
 
 // Name implements kernel.Service.
-func (k *Keeper) Name() string { return KeeperName }
+func (c *Keeper) Name() string { return KeeperName }
 
 // Start implements kernel.Service.
-func (k *Keeper) Start(context.Context) error {
-	k.running.Start(k.loop)
+func (c *Keeper) Start(context.Context) error {
+	c.refresher.Start(c.refreshLoop)
 	return nil
 }
 
 // Stop implements kernel.Service.
-func (k *Keeper) Stop(context.Context) error {
-	k.running.Stop()
+func (c *Keeper) Stop(context.Context) error {
+	c.refresher.Stop()
 	return nil
 }
 
-// Catalog returns the catalog in force; nil before the first reading.
-func (k *Keeper) Catalog() *Catalog { return k.current.Load() }
+// Catalog returns the catalog in force; nil before the first read.
+func (c *Keeper) Catalog() *Catalog { return c.current.Load() }
 
-// ProvenAge is how long ago the catalog in force was last known to be the
-// newest, counted from when the proving call was sent.
-func (k *Keeper) ProvenAge(now time.Time) time.Duration {
-	p := k.proof.Load()
-	if p == nil {
-		return neverProven
+// ProvenAge returns how long ago the catalog in force was last known to be the
+// newest, counted from when the verifying call was sent.
+func (c *Keeper) ProvenAge(now time.Time) time.Duration {
+	v := c.verification.Load()
+	if v == nil {
+		return neverVerified
 	}
-	return now.Sub(p.at)
+	return now.Sub(v.at)
 }
 
-func (k *Keeper) known() Known {
-	// The proof is read first: a catalog that is adopted meanwhile is newer than it says.
-	p := k.proof.Load()
-	if p == nil {
-		return Known{Version: k.Version(), ProvenAge: neverProven}
+func (c *Keeper) state() Known {
+	// The verification is read before the version, so that a catalog adopted in
+	// between is newer than the reported revision, never older.
+	v := c.verification.Load()
+	if v == nil {
+		return Known{Version: c.Version(), ProvenAge: neverVerified}
 	}
-	return Known{Version: k.Version(), Revision: p.revision, ProvenAge: clock.Since(p.at)}
+	return Known{Version: c.Version(), Revision: v.revision, ProvenAge: clock.Since(v.at)}
 }
 
-func (k *Keeper) loop(ctx context.Context) {
+// refreshLoop reads the configuration and then watches it from the revision that was read.
+func (c *Keeper) refreshLoop(ctx context.Context) {
 	var revision uint64
-	listed := false
-	missing := wait.Backoff{Least: firstReadPause, Most: mostRetryPause}
-	failing := wait.Backoff{Least: retryPause, Most: mostRetryPause}
+	watching := false
+	missing := wait.Backoff{Least: minFirstReadPause, Most: maxRetryPause}
+	failing := wait.Backoff{Least: minRetryPause, Most: maxRetryPause}
 	for ctx.Err() == nil {
-		w, err := k.ask(ctx, listed, revision)
+		w, err := c.query(ctx, watching, revision)
 		switch {
 		case err == nil:
-			listed, revision = true, w.Revision
+			watching, revision = true, w.Revision
 			failing.Succeeded()
-			k.proven(w)
+			c.recordVerified(w)
 		case errors.Is(err, platform.ErrCompacted):
-			k.log.Emit(event.HistoryGone).Str("of", "catalog").Uint64("revision", revision).Send()
-			listed = false
-			wait.Sleep(ctx, retryPause)
+			c.log.Emit(event.HistoryGone).Str("of", "catalog").Uint64("revision", revision).Send()
+			watching = false
+			wait.Sleep(ctx, minRetryPause)
 		case errors.Is(err, platform.ErrNotFound) && w.Revision > 0:
-			// There is none yet; a watch hears of the first one. Asking again and again
-			// took five calls of each node.
-			listed, revision = true, w.Revision
-			k.proven(w)
+			// There is no configuration yet. A watch from this revision returns the
+			// first one; polling for it took five calls of each node.
+			watching, revision = true, w.Revision
+			c.recordVerified(w)
 		case errors.Is(err, platform.ErrNotFound):
 			wait.Sleep(ctx, missing.Next())
 		default:
-			k.failed(ctx, err)
+			c.recordFailure(ctx, err)
 			wait.Sleep(ctx, failing.Next())
 		}
 	}
 }
 
-func (k *Keeper) ask(ctx context.Context, listed bool, revision uint64) (Watched, error) {
-	if listed {
-		return k.source.Changed(ctx, revision, k.watchWait())
+func (c *Keeper) query(ctx context.Context, watching bool, revision uint64) (Watched, error) {
+	if watching {
+		return c.source.Changed(ctx, revision, c.watchWait())
 	}
-	return k.source.Current(ctx)
+	return c.source.Current(ctx)
 }
 
-// watchWait is how long the next watch may wait for news. While the source is away it does not wait,
-// so that its return is seen at once.
-func (k *Keeper) watchWait() time.Duration {
-	if k.lost {
+// watchWait returns how long the next watch may wait for a change. While the source is
+// unreachable it is zero, so that the first response after the outage is not delayed by it.
+func (c *Keeper) watchWait() time.Duration {
+	if c.disconnected {
 		return 0
 	}
-	return k.wait
+	return c.wait
 }
 
-// Version is the version in force; zero before the first reading.
-func (k *Keeper) Version() uint64 {
-	if c := k.Catalog(); c != nil {
-		return c.version
+// Version returns the version in force; zero before the first read.
+func (c *Keeper) Version() uint64 {
+	if current := c.Catalog(); current != nil {
+		return current.version
 	}
 	return 0
 }
 
-// Await waits up to wait for a version above the given one, and returns what is known then.
-func (k *Keeper) Await(ctx context.Context, version uint64, wait time.Duration) Known {
+// Await waits up to wait for a version above the given one, and returns the state after it.
+func (c *Keeper) Await(ctx context.Context, version uint64, wait time.Duration) Known {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		k.mu.Lock()
-		news := k.news
-		k.mu.Unlock()
-		if current := k.known(); current.Version > version {
+		c.mu.Lock()
+		updated := c.updated
+		c.mu.Unlock()
+		if current := c.state(); current.Version > version {
 			return current
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-timer.C:
-			return k.known()
+			return c.state()
 		case <-ctx.Done():
-			return k.known()
+			return c.state()
 		}
 	}
 }
 
-func (k *Keeper) proven(w Watched) {
-	if k.lost {
-		k.lost = false
-		k.log.Emit(event.PlatformUp).Str("of", "catalog").Send()
-		for _, f := range k.onReturn {
+// recordVerified adopts the result of a successful call and wakes the callers of Await.
+func (c *Keeper) recordVerified(w Watched) {
+	if c.disconnected {
+		c.disconnected = false
+		c.log.Emit(event.PlatformUp).Str("of", "catalog").Send()
+		for _, f := range c.onReturn {
 			f()
 		}
 	}
-	k.adopt(w.Catalog)
-	if old := k.proof.Load(); old == nil || w.ProvenAt.After(old.at) {
-		k.proof.Store(&proof{at: w.ProvenAt, revision: w.Revision})
+	c.adopt(w.Catalog)
+	if old := c.verification.Load(); old == nil || w.ProvenAt.After(old.at) {
+		c.verification.Store(&verification{at: w.ProvenAt, revision: w.Revision})
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	close(k.news)
-	k.news = make(chan struct{})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	close(c.updated)
+	c.updated = make(chan struct{})
 }
 
-func (k *Keeper) adopt(c *Catalog) {
-	old := k.current.Load()
-	if c == nil || (old != nil && c.version <= old.version) {
+// adopt puts a catalog in force unless its version is not newer.
+func (c *Keeper) adopt(next *Catalog) {
+	old := c.current.Load()
+	if next == nil || (old != nil && next.version <= old.version) {
 		return
 	}
-	k.current.Store(c)
-	k.log.Emit(event.CatalogAdopted).Uint64("version", c.version).Int("routes", c.routes).
-		Int("services", len(c.services)).Int("keys", len(c.keys)).Send()
-	for _, f := range k.onChange {
+	c.current.Store(next)
+	c.log.Emit(event.CatalogAdopted).Uint64("version", next.version).Int("routes", next.routes).
+		Int("services", len(next.services)).Int("keys", len(next.keys)).Send()
+	for _, f := range c.onChange {
 		f()
 	}
 }
 
-func (k *Keeper) failed(ctx context.Context, err error) {
-	if k.lost || ctx.Err() != nil {
+// recordFailure logs the first failed call of an outage.
+func (c *Keeper) recordFailure(ctx context.Context, err error) {
+	if c.disconnected || ctx.Err() != nil {
 		return
 	}
-	k.lost = true
-	k.log.Emit(event.PlatformDown).Str("of", "catalog").Dur("proven_age_ms", k.ProvenAge(clock.Now())).Err(err).Send()
+	c.disconnected = true
+	c.log.Emit(event.PlatformDown).Str("of", "catalog").Dur("proven_age_ms", c.ProvenAge(clock.Now())).Err(err).Send()
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -122,7 +122,7 @@
 mutant "a leader's watch waits for long" internal/feed/feed.go \
   's/return min\(most, leaderWait\)/return most/' ./internal/feed TestLeadersProofStaysYoung
 mutant "a first configuration is asked for again and again" internal/catalog/keeper.go \
-  's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWaitedFor
+  's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWatched
 mutant "followers press a store that is away" internal/feed/feed.go \
   's/if now\.Before\(o\.quietUntil\) && /if false \&\& /' ./internal/feed TestFollowersLeaveADeadStoreToTheirLeaders
 mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
@@ -186,7 +186,7 @@
 mutant "keys are honoured without a proof" internal/gateway/handle.go \
   's/s\.config\.KeyProof > 0 && c\.CatalogAge > s\.config\.KeyProof/false/' ./internal/gateway TestKeysNeedAProof
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
-  's/c\.version <= old\.version/c.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverFalls
+  's/next\.version <= old\.version/next.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverDecreases
 mutant "the configuration is watched from its last change" platform/configuration.go \
   's/return next, revision, err/revision = o.Metadata.Rev\n\t\t\treturn next, revision, err/' ./platform TestWatchAfterForgottenHistory
 mutant "the key is passed on" platform/upstream.go \
