--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger keeps the at-most-once record in the platform's store: which
-// idempotency keys have begun, and what came of them. A key is written by a
-// conditional update before its request is sent anywhere.
+// Package ledger enforces at-most-once execution of requests with an idempotency
+// key. It stores in the platform's store which keys have started and their outcomes.
+// A key is written by a conditional update before its request is sent to an upstream.
 package ledger
 
 import (
@@ -19,58 +19,59 @@
 )
 
 const (
-	// Buckets is how many objects the ledger is spread over. It must be the
-	// same on every entry for good: a key's bucket follows from it.
+	// Buckets is the number of objects that the ledger is spread over. It must be the
+	// same on every entry and never change: a key's bucket is computed from it.
 	Buckets = 256
-	// KeyPrefix is the store prefix of the ledger.
+	// KeyPrefix is the prefix of the ledger's keys in the store.
 	KeyPrefix = "once/"
-	// maxBucketBytes keeps an object below the store's limit of a megabyte.
+	// maxBucketBytes keeps an object below the store's limit of 1 MB.
 	maxBucketBytes = 900 << 10
-	// MaxAnswerBytes bounds a kept answer; larger ones are not kept.
+	// MaxAnswerBytes bounds a stored response; larger ones are not stored.
 	MaxAnswerBytes = 1 << 10
 	// finishTimeout bounds the background write of an outcome.
 	finishTimeout = 30 * time.Second
-	// retryPause is the first pause of the background write; it doubles.
-	retryPause = 100 * time.Millisecond
+	// minRetryPause is the first pause between attempts of the background write; each
+	// further one is twice as long.
+	minRetryPause = 100 * time.Millisecond
 )
 
 // Sentinel errors.
 var (
-	// ErrFull means that the key's bucket has no room.
-	ErrFull = errors.New("ledger bucket full")
-	// ErrBodyDiffers means that the key was used with another request.
-	ErrBodyDiffers = errors.New("idempotency key used with another request")
+	// ErrFull means that the key's bucket has reached its maximum size.
+	ErrFull = errors.New("ledger bucket is full")
+	// ErrBodyDiffers means that the key was used with a different request.
+	ErrBodyDiffers = errors.New("idempotency key was used with a different request")
 )
 
-// Stage is how far a key's request has come.
+// Stage is the state of a key's request.
 type Stage string
 
 // The stages.
 const (
-	// Begun: the request may have been sent.
+	// Begun means that the request may have been sent.
 	Begun Stage = "begun"
-	// Answered: the request ran and its answer is known.
+	// Answered means that the request ran and its response is known.
 	Answered Stage = "answered"
-	// Released: the request certainly did not run; the key may begin again.
+	// Released means that the request did not run; the key may start again.
 	Released Stage = "released"
 )
 
-// Record is what the ledger keeps of one key.
+// Record is the stored state of one key.
 type Record struct {
-	// Attempt is unique to one try, so that a writer whose answer was lost
-	// recognises its own record.
+	// Attempt is the unique ID of one attempt, by which a writer that missed the
+	// store's response recognises its own record.
 	Attempt string `json:"a"`
 	// Body is a hash of the request.
 	Body  string `json:"b"`
 	Stage Stage  `json:"s"`
-	// Expires is Unix seconds by the store's clock.
+	// Expires is when the record may be removed, in Unix seconds by the store's clock.
 	Expires int64  `json:"e"`
 	Status  int    `json:"st,omitempty"`
 	Type    string `json:"ct,omitempty"`
 	Answer  []byte `json:"an,omitempty"`
 }
 
-// bucket is the stored form of one object.
+// bucket is the stored form of one of the ledger's objects.
 type bucket struct {
 	Records map[string]Record `json:"records"`
 }
@@ -81,8 +82,8 @@
 	Put(ctx context.Context, key string, value []byte, base uint64) (platform.Object, error)
 }
 
-// Ledger is one entry's access to the record. Its methods may be called from
-// any goroutine; writes to one bucket are collected into one update.
+// Ledger is one entry's access to the stored records. Its methods may be called
+// from any goroutine; concurrent writes to one bucket are combined into one update.
 type Ledger struct {
 	store  Store
 	window time.Duration
@@ -90,13 +91,13 @@
 
 	mu         sync.Mutex
 	committers map[int]*committer
-	// outcomes counts the background writes of Finish.
-	outcomes sync.WaitGroup
+	// finishing counts the background writes of Finish.
+	finishing sync.WaitGroup
 }
 
-// New returns a ledger that keeps keys for the window. now is the store's
-// clock, so that clock jumps on an entry VM neither drop a key early nor keep
-// it for good.
+// New returns a ledger that keeps each key for the window. now returns the time by
+// the store's clock, so that a clock jump on an entry VM neither drops a key early
+// nor keeps it forever.
 func New(store Store, window time.Duration, now func() time.Time) *Ledger {
 	return &Ledger{store: store, window: window, now: now, committers: make(map[int]*committer)}
 }
@@ -107,14 +108,14 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// HashBody returns the hash by which requests under one key are compared.
+// HashBody returns a hash of a request's parts, by which requests with the same key are compared.
 func HashBody(parts ...[]byte) string {
-	d := sha256.New()
+	h := sha256.New()
 	for _, p := range parts {
-		_, _ = d.Write([]byte(strconv.Itoa(len(p)) + ":"))
-		_, _ = d.Write(p)
+		_, _ = h.Write([]byte(strconv.Itoa(len(p)) + ":"))
+		_, _ = h.Write(p)
 	}
-	return hex.EncodeToString(d.Sum(nil)[:16])
+	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
 // BucketOf returns the number of the key's bucket.
@@ -122,8 +123,8 @@
 	return int(xxhash.Sum64String(key) % Buckets)
 }
 
-// Begin claims the key for the attempt. First is true when this attempt may
-// send the request; else the record tells what an earlier one did. On any
+// Begin claims the key for the attempt. first is true when this attempt may
+// send the request; otherwise rec is the record of an earlier attempt. On any
 // error the request must not be sent.
 func (l *Ledger) Begin(ctx context.Context, key, attempt, body string) (first bool, rec Record, err error) {
 	c := l.committer(BucketOf(key))
@@ -143,15 +144,15 @@
 			Expires: l.now().Add(l.window).Unix(),
 		}, nil
 	}}
-	rec, err = c.do(ctx, op)
+	rec, err = c.submit(ctx, op)
 	return err == nil && rec.Attempt == attempt, rec, err
 }
 
-// Finish records the attempt's outcome in the background, with retries. Until
-// it is stored, others read Begun, which is always safe.
+// Finish stores the attempt's outcome in the background, with retries. Until
+// it is stored, other attempts read Begun, which never lets a request run twice.
 func (l *Ledger) Finish(key string, outcome Record) {
 	c := l.committer(BucketOf(key))
-	op := func() *operation {
+	newOperation := func() *operation {
 		return &operation{key: key, apply: func(old Record, found bool) (Record, error) {
 			if !found || old.Attempt != outcome.Attempt {
 				return old, nil
@@ -161,14 +162,14 @@
 			return outcome, nil
 		}}
 	}
-	l.outcomes.Add(1)
+	l.finishing.Add(1)
 	go func() {
-		defer l.outcomes.Done()
+		defer l.finishing.Done()
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 		defer cancel()
-		pause := retryPause
+		pause := minRetryPause
 		for {
-			if _, err := c.do(ctx, op()); err == nil || ctx.Err() != nil {
+			if _, err := c.submit(ctx, newOperation()); err == nil || ctx.Err() != nil {
 				return
 			}
 			select {
@@ -181,12 +182,12 @@
 	}()
 }
 
-// Flush waits until the outcomes given to Finish are stored, or ctx ends.
+// Flush waits until the background writes of Finish are done, or ctx ends.
 // Finish must not be called meanwhile.
 func (l *Ledger) Flush(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		l.outcomes.Wait()
+		l.finishing.Wait()
 		close(done)
 	}()
 	select {
@@ -206,8 +207,8 @@
 	return c
 }
 
-// operation is one change of one record. apply must be pure: it may be called
-// again on newer state.
+// operation changes one record. apply must be free of side effects: it may be
+// called again on a newer record.
 type operation struct {
 	key   string
 	apply func(old Record, found bool) (Record, error)
@@ -217,27 +218,31 @@
 	done   chan struct{}
 }
 
-// committer collects the operations of one bucket. While one update is under
-// way the next ones gather, so the write rate does not follow the request rate.
+// committer batches the operations on one bucket. While one update is being
+// written, new operations queue for the next one, so the rate of writes stays
+// bounded when the request rate grows.
 type committer struct {
 	ledger *Ledger
 	key    string
 
 	mu      sync.Mutex
 	pending []*operation
-	busy    bool
+	// running is true while a goroutine commits batches.
+	running bool
 
-	// bucket and base are the newest known state; owned by the running commit.
-	bucket bucket
-	base   uint64
+	// bucket and baseVersion are the newest known state and its version in the store;
+	// only the running commit uses them.
+	bucket      bucket
+	baseVersion uint64
 }
 
-func (c *committer) do(ctx context.Context, op *operation) (Record, error) {
+// submit queues the operation and waits for its result.
+func (c *committer) submit(ctx context.Context, op *operation) (Record, error) {
 	op.done = make(chan struct{})
 	c.mu.Lock()
 	c.pending = append(c.pending, op)
-	if !c.busy {
-		c.busy = true
+	if !c.running {
+		c.running = true
 		go c.run()
 	}
 	c.mu.Unlock()
@@ -249,13 +254,14 @@
 	}
 }
 
+// run commits batches until no operation is pending.
 func (c *committer) run() {
 	for {
 		c.mu.Lock()
 		batch := c.pending
 		c.pending = nil
 		if len(batch) == 0 {
-			c.busy = false
+			c.running = false
 			c.mu.Unlock()
 			return
 		}
@@ -265,20 +271,21 @@
 }
 
 const (
-	maxTries = 8
-	// commitTimeout bounds one batch, so that callers hear at once that the
-	// platform is away.
+	maxAttempts = 8
+	// commitTimeout bounds the commit of one batch, so that callers get an error
+	// early while the platform is unreachable.
 	commitTimeout = 3 * time.Second
 )
 
+// commit writes the batch with retries and delivers the results.
 func (c *committer) commit(batch []*operation) {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	var err error
-	for range maxTries {
-		var again bool
-		again, err = c.attempt(ctx, batch)
-		if !again {
+	for range maxAttempts {
+		var retry bool
+		retry, err = c.attempt(ctx, batch)
+		if !retry {
 			break
 		}
 	}
@@ -290,19 +297,19 @@
 	}
 }
 
-// attempt applies the batch to the newest known state and writes it. It asks
-// for another round when the state was old or the write's outcome is unknown:
-// the operations recognise their own records, so applying again is safe.
-func (c *committer) attempt(ctx context.Context, batch []*operation) (again bool, err error) {
-	fresh := c.base == 0
-	if fresh {
+// attempt applies the batch to the newest known state and writes the result. retry
+// is true when that state was outdated or the outcome of the write is unknown. The
+// operations recognise their own records, so they can be applied again safely.
+func (c *committer) attempt(ctx context.Context, batch []*operation) (retry bool, err error) {
+	loaded := c.baseVersion == 0
+	if loaded {
 		if err := c.load(ctx); err != nil {
 			return false, err
 		}
 	}
 	next, changed := c.apply(batch)
-	if !changed && !fresh {
-		// Only reads: what is known may be old, since other entries write too.
+	if !changed && !loaded {
+		// The batch only reads. The cached state may be outdated, since other entries write too.
 		if err := c.load(ctx); err != nil {
 			return false, err
 		}
@@ -318,17 +325,18 @@
 	if len(value) > maxBucketBytes {
 		return false, ErrFull
 	}
-	written, err := c.ledger.store.Put(ctx, c.key, value, c.base)
+	written, err := c.ledger.store.Put(ctx, c.key, value, c.baseVersion)
 	switch {
 	case err == nil:
 		c.bucket = next
-		c.base = written.Version
+		c.baseVersion = written.Version
 		return false, nil
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrUnknown):
 		if loadErr := c.load(ctx); loadErr != nil {
-			// Nothing was sent on the strength of this write; but the key may
-			// stand as begun, so later tries may hear "may have run".
-			c.base = 0
+			// Begin returns this error, so its caller sends nothing. But the write may
+			// have been stored, and then later attempts read Begun for a request that
+			// was never sent.
+			c.baseVersion = 0
 			return false, errors.CombineErrors(err, loadErr)
 		}
 		return true, err
@@ -336,11 +344,12 @@
 	return false, err
 }
 
+// load reads the bucket from the store.
 func (c *committer) load(ctx context.Context) error {
 	object, err := c.ledger.store.Get(ctx, c.key)
 	if errors.Is(err, platform.ErrNotFound) {
 		c.bucket = bucket{Records: make(map[string]Record)}
-		c.base = 0
+		c.baseVersion = 0
 		return nil
 	}
 	if err != nil {
@@ -354,11 +363,11 @@
 		b.Records = make(map[string]Record)
 	}
 	c.bucket = b
-	c.base = object.Version
+	c.baseVersion = object.Version
 	return nil
 }
 
-// apply returns the bucket after the batch, without expired records.
+// apply returns the bucket after the batch, without expired records, and whether the batch changed it.
 func (c *committer) apply(batch []*operation) (bucket, bool) {
 	now := c.ledger.now().Unix()
 	next := bucket{Records: make(map[string]Record, len(c.bucket.Records)+len(batch))}
@@ -371,7 +380,7 @@
 	for _, op := range batch {
 		old, found := next.Records[op.key]
 		op.result, op.err = op.apply(old, found)
-		if op.err != nil || op.result.Attempt == "" || same(op.result, old) {
+		if op.err != nil || op.result.Attempt == "" || sameState(op.result, old) {
 			continue
 		}
 		next.Records[op.key] = op.result
@@ -380,6 +389,7 @@
 	return next, changed
 }
 
-func same(a, b Record) bool {
+// sameState reports whether two records are of the same attempt in the same stage.
+func sameState(a, b Record) bool {
 	return a.Attempt == b.Attempt && a.Stage == b.Stage
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -13,19 +13,20 @@
 	_ "github.com/marbleroad/marbleroad/test/seed"
 )
 
-// store is the oracle's platform: it can be down, and can lose the answers of
-// writes that took effect.
-type store struct {
+// unreliableStore can be down, and can lose the responses of writes that took effect.
+type unreliableStore struct {
 	mu      sync.Mutex
 	objects map[string]platform.Object
 	down    bool
-	lose    int
-	writes  int
+	// loseResponses is how many of the next writes return ErrUnknown though they took
+	// effect. Each of them but the last also takes the store down.
+	loseResponses int
+	writes        int
 }
 
-func newStore() *store { return &store{objects: make(map[string]platform.Object)} }
+func newStore() *unreliableStore { return &unreliableStore{objects: make(map[string]platform.Object)} }
 
-func (s *store) Get(_ context.Context, key string) (platform.Object, error) {
+func (s *unreliableStore) Get(_ context.Context, key string) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -38,7 +39,7 @@
 	return o, nil
 }
 
-func (s *store) Put(_ context.Context, key string, value []byte, base uint64) (platform.Object, error) {
+func (s *unreliableStore) Put(_ context.Context, key string, value []byte, base uint64) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -50,18 +51,18 @@
 	s.writes++
 	o := platform.Object{Key: key, Version: base + 1, Value: value}
 	s.objects[key] = o
-	if s.lose > 0 {
-		s.lose--
-		s.down = s.lose > 0
+	if s.loseResponses > 0 {
+		s.loseResponses--
+		s.down = s.loseResponses > 0
 		return platform.Object{}, platform.ErrUnknown
 	}
 	return o, nil
 }
 
 // TestAtMostOnce drives three entries with the same few keys over a store
-// that loses answers and goes down. The oracle counts what would be sent: a
-// key is sent again only after its attempt said that it did not run, or after
-// its window.
+// that loses responses and goes down. It tracks the requests that would be sent: a
+// key may be sent again only after its last attempt reported that the request did
+// not run, or after its window.
 func TestAtMostOnce(t *testing.T) {
 	const window = 100 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -74,9 +75,10 @@
 		type sent struct {
 			attempt string
 			at      time.Time
-			open    bool
+			// mayHaveRun is false once the attempt reported that it did not run.
+			mayHaveRun bool
 		}
-		out := make(map[string]sent)
+		lastSent := make(map[string]sent)
 		attempts := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
@@ -88,43 +90,43 @@
 					return
 				}
 				if !first && rec.Attempt == attempt {
-					t.Fatal("own attempt is not first")
+					t.Fatal("the record is of this attempt, which is not first")
 				}
 				if !first {
 					return
 				}
-				if old, ok := out[k]; ok && old.open && clock.Sub(old.at) < window {
+				if old, ok := lastSent[k]; ok && old.mayHaveRun && clock.Sub(old.at) < window {
 					t.Fatalf("key sent by attempt %s and again by %s within its window", old.attempt, attempt)
 				}
-				out[k] = sent{attempt: attempt, at: clock, open: true}
+				lastSent[k] = sent{attempt: attempt, at: clock, mayHaveRun: true}
 			},
 			"not run": func(t *rapid.T) {
 				k, e := key.Draw(t, "key"), entry.Draw(t, "entry")
-				if old, ok := out[k]; ok && !s.down && s.lose == 0 {
-					old.open = false
-					out[k] = old
+				if old, ok := lastSent[k]; ok && !s.down && s.loseResponses == 0 {
+					old.mayHaveRun = false
+					lastSent[k] = old
 					entries[e].Finish(k, Record{Attempt: old.attempt, Stage: Released})
 					entries[e].Flush(context.Background())
 				}
 			},
 			"ran": func(t *rapid.T) {
 				k, e := key.Draw(t, "key"), entry.Draw(t, "entry")
-				if old, ok := out[k]; ok && old.open && !s.down && s.lose == 0 {
+				if old, ok := lastSent[k]; ok && old.mayHaveRun && !s.down && s.loseResponses == 0 {
 					entries[e].Finish(k, Record{Attempt: old.attempt, Stage: Answered, Status: 200, Answer: []byte("x")})
 					entries[e].Flush(context.Background())
 				}
 			},
 			"other body": func(t *rapid.T) {
 				k, e := key.Draw(t, "key"), entry.Draw(t, "entry")
-				old, ok := out[k]
-				if !ok || !old.open || s.down || s.lose > 0 || clock.Sub(old.at) >= window {
+				old, ok := lastSent[k]
+				if !ok || !old.mayHaveRun || s.down || s.loseResponses > 0 || clock.Sub(old.at) >= window {
 					return
 				}
 				if first, _, _ := entries[e].Begin(context.Background(), k, "other", "other"); first {
-					t.Fatal("a key was begun with another body")
+					t.Fatal("a key was claimed with another body")
 				}
 			},
-			"lose answers": func(t *rapid.T) { s.lose = rapid.IntRange(0, 3).Draw(t, "n") },
+			"lose answers": func(t *rapid.T) { s.loseResponses = rapid.IntRange(0, 3).Draw(t, "n") },
 			"down":         func(t *rapid.T) { s.down = rapid.Bool().Draw(t, "down") },
 			"time":         func(t *rapid.T) { clock = clock.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "s")) * time.Second) },
 			"restart":      func(t *rapid.T) { entries[entry.Draw(t, "entry")] = New(s, window, now) },
@@ -132,35 +134,35 @@
 	})
 }
 
-// TestGroupCommit: while one write is under way, others gather.
+// TestGroupCommit checks that operations which arrive during a write are combined into the next one.
 func TestGroupCommit(t *testing.T) {
 	s := newStore()
 	l := New(s, time.Hour, time.Now)
 	c := l.committer(0)
-	c.busy = true
+	c.running = true
 	const n = 50
-	var group sync.WaitGroup
+	var submitters sync.WaitGroup
 	for i := range n {
-		group.Add(1)
+		submitters.Add(1)
 		go func() {
-			defer group.Done()
-			_, _ = c.do(context.Background(), &operation{key: fmt.Sprint(i), apply: func(Record, bool) (Record, error) {
+			defer submitters.Done()
+			_, _ = c.submit(context.Background(), &operation{key: fmt.Sprint(i), apply: func(Record, bool) (Record, error) {
 				return Record{Attempt: fmt.Sprint(i), Stage: Begun, Expires: time.Now().Add(time.Hour).Unix()}, nil
 			}})
 		}()
 	}
 	for {
 		c.mu.Lock()
-		gathered := len(c.pending)
+		queued := len(c.pending)
 		c.mu.Unlock()
-		if gathered == n {
+		if queued == n {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
 	c.run()
-	group.Wait()
+	submitters.Wait()
 	if s.writes != 1 {
-		t.Errorf("%d writes for %d keys", s.writes, n)
+		t.Errorf("%d writes for %d keys, want 1", s.writes, n)
 	}
 }
