--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -1,5 +1,6 @@
-// Package table is the operators' table: its sheets, columns, rows and their
-// checks. A row is one object in the platform's store, so races are per row.
+// Package table defines the operators' table: its sheets, columns and rows, and how
+// they are validated. Each row is one object in the platform's store, so concurrent
+// changes conflict only if they are to the same row.
 package table
 
 import (
@@ -15,8 +16,8 @@
 var (
 	ErrUnknownSheet  = errors.New("unknown sheet")
 	ErrUnknownColumn = errors.New("unknown column")
-	ErrBadCell       = errors.New("bad cell")
-	ErrBadRow        = errors.New("unreadable row")
+	ErrBadCell       = errors.New("invalid cell")
+	ErrBadRow        = errors.New("invalid stored row")
 )
 
 // SheetName names a sheet of the table.
@@ -31,7 +32,7 @@
 	VMs      SheetName = "vms"
 )
 
-// ServiceKind tells a model service from a plain one.
+// ServiceKind is whether a service is a model or a plain one.
 type ServiceKind string
 
 // The kinds of service.
@@ -43,15 +44,15 @@
 // Service is a row of the services sheet.
 type Service struct {
 	Kind ServiceKind `json:"kind"`
-	// Pool is the membership list's pool whose VMs serve a plain service.
+	// Pool is the pool of the membership list whose VMs serve a plain service.
 	Pool string `json:"pool,omitempty"`
 	// Idempotent is false when a request must run at most once.
 	Idempotent bool `json:"idempotent"`
-	// Slots bounds the requests in flight at one upstream; 0 takes the upstream's word.
+	// Slots bounds the requests in flight at one upstream; 0 uses the limit that the upstream reports.
 	Slots int `json:"slots"`
 	// Queue bounds the requests that wait at one entry.
 	Queue int `json:"queue"`
-	// Timeout is the deadline of a request that names none.
+	// Timeout bounds a request that specifies no timeout itself.
 	Timeout time.Duration `json:"timeout"`
 }
 
@@ -61,7 +62,7 @@
 	KeySHA256 string `json:"key_sha256"`
 	// Weight is the team's share relative to other teams of the same priority.
 	Weight int `json:"weight"`
-	// MaxPriority bounds the priority that the team may ask for.
+	// MaxPriority bounds the priority that the team's requests may have.
 	MaxPriority int `json:"max_priority"`
 	// Rate bounds requests per second over all entries; 0 is no bound.
 	Rate float64 `json:"rate"`
@@ -69,17 +70,17 @@
 	Concurrency int `json:"concurrency"`
 }
 
-// Group is a row of the groups sheet: replicas of one model service inside
-// one fabric domain.
+// Group is a row of the groups sheet: the replicas of one model service in one
+// fabric domain.
 type Group struct {
 	Service       string `json:"service"`
 	FailureDomain string `json:"failure_domain"`
 	Fabric        string `json:"fabric"`
-	// Pool is the membership list's pool that the VMs come from.
+	// Pool is the pool of the membership list that the VMs are taken from.
 	Pool string `json:"pool"`
 	// VMs is the number of VMs in one replica.
 	VMs int `json:"vms"`
-	// Replicas is the number of replicas wanted.
+	// Replicas is the target number of replicas.
 	Replicas int `json:"replicas"`
 	// DowntimeWeight is the cost of one group down for one second.
 	DowntimeWeight float64 `json:"downtime_weight"`
@@ -89,7 +90,7 @@
 	LoadTime time.Duration `json:"load_time"`
 }
 
-// Limit is a row of the limits sheet: one team's limit at one service.
+// Limit is a row of the limits sheet: the limit of one team at one service.
 type Limit struct {
 	Team        string  `json:"team"`
 	Service     string  `json:"service"`
@@ -104,28 +105,28 @@
 
 // Change records one accepted change of a row.
 type Change struct {
-	// ID is the change's own ID; a writer whose answer was lost looks for it.
+	// ID is unique to the change. A writer that missed the store's response searches the history for it.
 	ID     string    `json:"id"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
 	// Version is the row's version after the change.
 	Version uint64 `json:"version"`
-	// Cells is the row after the change, in the sheet's column order.
+	// Cells holds the texts of the row's cells after the change, in the sheet's column order.
 	Cells   []string `json:"cells"`
 	Deleted bool     `json:"deleted,omitempty"`
 }
 
-// MaxChanges bounds the history kept in a row.
+// MaxChanges bounds the number of changes in a row's history.
 const MaxChanges = 16
 
 // Row is one row with its version and latest changes. Exactly one of the
-// pointers is set, by Sheet.
+// pointers at the end is set: the one for the row's sheet.
 type Row struct {
 	Sheet   SheetName `json:"sheet"`
 	Name    string    `json:"name"`
 	Version uint64    `json:"version"`
-	// Deleted marks a tombstone. Tombstones stay, so that a late old copy
-	// never brings the row back.
+	// Deleted marks a tombstone. Tombstones are kept, so that an outdated copy which
+	// arrives late does not restore the row.
 	Deleted bool     `json:"deleted,omitempty"`
 	Changes []Change `json:"changes"`
 
@@ -144,7 +145,7 @@
 	return item.TablePrefix + string(sheet) + "/" + name
 }
 
-// HasChange reports whether the row's history holds the change.
+// HasChange reports whether the row's history contains the change.
 func (r *Row) HasChange(id string) bool {
 	for _, c := range r.Changes {
 		if c.ID == id {
@@ -154,7 +155,7 @@
 	return false
 }
 
-// Record raises the version and adds the change to the row's history.
+// Record increments the row's version and appends the change to its history.
 func (r *Row) Record(id, author string, at time.Time) {
 	r.Version++
 	change := Change{
@@ -166,12 +167,12 @@
 		Deleted: r.Deleted,
 	}
 	r.Changes = append(r.Changes, change)
-	if extra := len(r.Changes) - MaxChanges; extra > 0 {
-		r.Changes = append([]Change(nil), r.Changes[extra:]...)
+	if excess := len(r.Changes) - MaxChanges; excess > 0 {
+		r.Changes = append([]Change(nil), r.Changes[excess:]...)
 	}
 }
 
-// Copy returns a deep copy.
+// Copy returns a deep copy of the row.
 func (r *Row) Copy() (*Row, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -180,7 +181,7 @@
 	return Decode(value)
 }
 
-// Item encodes the row.
+// Item returns the row as an encoded item.
 func (r *Row) Item() (item.Item, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -189,7 +190,7 @@
 	return item.Item{Key: r.Key(), Version: r.Version, Value: value}, nil
 }
 
-// Decode reads a row and checks that it is whole.
+// Decode decodes a row and checks that it has a known sheet, a name, a version and its sheet's cells.
 func Decode(value []byte) (*Row, error) {
 	var r Row
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -199,7 +200,7 @@
 	if err != nil {
 		return nil, errors.Mark(err, ErrBadRow)
 	}
-	if r.Version == 0 || r.Name == "" || !sheet.holds(&r) {
+	if r.Version == 0 || r.Name == "" || !sheet.hasCells(&r) {
 		return nil, errors.Wrapf(ErrBadRow, "%s/%s version %d", r.Sheet, r.Name, r.Version)
 	}
 	return &r, nil
--- a/internal/table/sheet.go
+++ b/internal/table/sheet.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of cells.
+// Bounds of the cells' values.
 const (
 	MaxPriority    = 9
 	maxWeight      = 1000
@@ -27,7 +27,7 @@
 // CheckName checks the name of a row.
 func CheckName(name string) error {
 	if !namePattern.MatchString(name) {
-		return errors.Wrapf(ErrBadCell, "name %q: allowed are 1 to 63 of a-z, 0-9, dot, underscore and hyphen, a letter or digit first", name)
+		return errors.Wrapf(ErrBadCell, "name %q: must be 1 to 63 of a-z, 0-9, dot, underscore and hyphen, and start with a letter or digit", name)
 	}
 	return nil
 }
@@ -35,39 +35,41 @@
 // Column describes one column of a sheet.
 type Column struct {
 	Name string
-	// Default is the text taken when a cell is empty.
+	// Default is the text used for an empty cell.
 	Default string
-	// Doc says the unit and the effect.
+	// Doc describes the column's unit and effect to operators.
 	Doc string
 
+	// get formats the cell of a row; set parses a text dest it.
 	get func(*Row) string
 	set func(*Row, string) error
 }
 
-// Sheet describes one sheet.
+// Sheet describes one sheet of the table.
 type Sheet struct {
 	Name    SheetName
 	Doc     string
 	Columns []Column
 
-	holds func(*Row) bool
-	reset func(*Row)
+	// hasCells reports whether a row has the cells of this sheet; reset gives it empty ones.
+	hasCells func(*Row) bool
+	reset    func(*Row)
 }
 
-// Sheets lists all sheets in the order in which they are shown.
+// Sheets holds all sheets in display order.
 var Sheets = []*Sheet{servicesSheet, teamsSheet, groupsSheet, limitsSheet, vmsSheet}
 
-// Lookup finds a sheet by name.
+// Lookup returns the sheet of the given name.
 func Lookup(name SheetName) (*Sheet, error) {
 	for _, s := range Sheets {
 		if s.Name == name {
 			return s, nil
 		}
 	}
-	return nil, errors.Wrapf(ErrUnknownSheet, "%q: allowed are services, teams, groups, limits and vms", name)
+	return nil, errors.Wrapf(ErrUnknownSheet, "%q: must be services, teams, groups, limits or vms", name)
 }
 
-// NewRow returns a row of the sheet with every cell at its default where it has one.
+// NewRow returns a row of the sheet whose cells have their columns' defaults, or are empty without one.
 func (s *Sheet) NewRow(name string) *Row {
 	r := &Row{Sheet: s.Name, Name: name}
 	s.reset(r)
@@ -79,7 +81,7 @@
 	return r
 }
 
-// Set parses one cell into the row. An empty text takes the default.
+// Set parses the text dest one cell of the row. An empty text sets the column's default.
 func (s *Sheet) Set(r *Row, column, text string) error {
 	for _, c := range s.Columns {
 		if c.Name != column {
@@ -93,20 +95,21 @@
 	return errors.Wrapf(ErrUnknownColumn, "%q in sheet %s", column, s.Name)
 }
 
-// Check checks every cell of the row, so that required cells can't be missing.
+// Check validates every cell of the row, so that required cells can't be missing. It returns the first error
+// with the others attached.
 func (s *Sheet) Check(r *Row) error {
-	var all error
+	var combined error
 	for _, c := range s.Columns {
 		err := c.set(r, c.get(r))
-		all = errors.CombineErrors(all, errors.Wrapf(err, "column %s", c.Name))
+		combined = errors.CombineErrors(combined, errors.Wrapf(err, "column %s", c.Name))
 	}
-	return all
+	return combined
 }
 
 // Cells returns the row's cell texts in column order.
 func (r *Row) Cells() []string {
 	sheet, err := Lookup(r.Sheet)
-	if err != nil || !sheet.holds(r) {
+	if err != nil || !sheet.hasCells(r) {
 		return nil
 	}
 	out := make([]string, len(sheet.Columns))
@@ -117,10 +120,10 @@
 }
 
 var servicesSheet = &Sheet{
-	Name:  Services,
-	Doc:   "What callers can ask for, by name.",
-	holds: func(r *Row) bool { return r.Service != nil },
-	reset: func(r *Row) { r.Service = &Service{} },
+	Name:     Services,
+	Doc:      "What callers can ask for, by name.",
+	hasCells: func(r *Row) bool { return r.Service != nil },
+	reset:    func(r *Row) { r.Service = &Service{} },
 	Columns: []Column{
 		{"kind", "", "model or plain.",
 			func(r *Row) string { return string(r.Service.Kind) },
@@ -131,7 +134,7 @@
 			func(r *Row) string { return r.Service.Pool },
 			func(r *Row, t string) error { return optionalName(t, &r.Service.Pool) }},
 		{"idempotent", "yes", "no: each request runs at most once and is never retried after it may have run.",
-			func(r *Row) string { return yesNo(r.Service.Idempotent) },
+			func(r *Row) string { return formatYesNo(r.Service.Idempotent) },
 			func(r *Row, t string) error { return parseYesNo(t, &r.Service.Idempotent) }},
 		{"slots", "0", "Requests in flight at one upstream over all entries; 0 takes the upstream's own word.",
 			func(r *Row) string { return strconv.Itoa(r.Service.Slots) },
@@ -148,10 +151,10 @@
 }
 
 var teamsSheet = &Sheet{
-	Name:  Teams,
-	Doc:   "Who may call, with what worth and up to what limit.",
-	holds: func(r *Row) bool { return r.Team != nil },
-	reset: func(r *Row) { r.Team = &Team{} },
+	Name:     Teams,
+	Doc:      "Who may call, with what worth and up to what limit.",
+	hasCells: func(r *Row) bool { return r.Team != nil },
+	reset:    func(r *Row) { r.Team = &Team{} },
 	Columns: []Column{
 		{"key_sha256", "", "Hex SHA-256 of the team's bearer key; the key itself is never stored.",
 			func(r *Row) string { return r.Team.KeySHA256 },
@@ -172,10 +175,10 @@
 }
 
 var groupsSheet = &Sheet{
-	Name:  Groups,
-	Doc:   "Replicas of model services, and what their downtime and stranded VMs cost.",
-	holds: func(r *Row) bool { return r.Group != nil },
-	reset: func(r *Row) { r.Group = &Group{} },
+	Name:     Groups,
+	Doc:      "Replicas of model services, and what their downtime and stranded VMs cost.",
+	hasCells: func(r *Row) bool { return r.Group != nil },
+	reset:    func(r *Row) { r.Group = &Group{} },
 	Columns: []Column{
 		{"service", "", "Model service that the replicas serve.",
 			func(r *Row) string { return r.Group.Service },
@@ -208,10 +211,10 @@
 }
 
 var limitsSheet = &Sheet{
-	Name:  Limits,
-	Doc:   "A team's limit at one service, besides the team's own.",
-	holds: func(r *Row) bool { return r.Limit != nil },
-	reset: func(r *Row) { r.Limit = &Limit{} },
+	Name:     Limits,
+	Doc:      "A team's limit at one service, besides the team's own.",
+	hasCells: func(r *Row) bool { return r.Limit != nil },
+	reset:    func(r *Row) { r.Limit = &Limit{} },
 	Columns: []Column{
 		{"team", "", "Team that the limit holds for.",
 			func(r *Row) string { return r.Limit.Team },
@@ -229,13 +232,13 @@
 }
 
 var vmsSheet = &Sheet{
-	Name:  VMs,
-	Doc:   "Orders for single upstream VMs.",
-	holds: func(r *Row) bool { return r.VM != nil },
-	reset: func(r *Row) { r.VM = &VM{} },
+	Name:     VMs,
+	Doc:      "Orders for single upstream VMs.",
+	hasCells: func(r *Row) bool { return r.VM != nil },
+	reset:    func(r *Row) { r.VM = &VM{} },
 	Columns: []Column{
 		{"drain", "no", "yes: the VM gets no new work and its group is put together again without it.",
-			func(r *Row) string { return yesNo(r.VM.Drain) },
+			func(r *Row) string { return formatYesNo(r.VM.Drain) },
 			func(r *Row, t string) error { return parseYesNo(t, &r.VM.Drain) }},
 	},
 }
@@ -247,42 +250,42 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrBadCell, "%q: allowed are %v", text, allowed)
+	return errors.Wrapf(ErrBadCell, "%q: must be one of %v", text, allowed)
 }
 
-func requiredName(text string, into *string) error {
+func requiredName(text string, dest *string) error {
 	if err := CheckName(text); err != nil {
 		return err
 	}
-	*into = text
+	*dest = text
 	return nil
 }
 
-func optionalName(text string, into *string) error {
+func optionalName(text string, dest *string) error {
 	if text == "" {
-		*into = ""
+		*dest = ""
 		return nil
 	}
-	return requiredName(text, into)
+	return requiredName(text, dest)
 }
 
-func yesNo(v bool) string {
+func formatYesNo(v bool) string {
 	if v {
 		return "yes"
 	}
 	return "no"
 }
 
-func parseYesNo(text string, into *bool) error {
-	return oneOf(text, func(v string) { *into = v == "yes" }, "yes", "no")
+func parseYesNo(text string, dest *bool) error {
+	return oneOf(text, func(v string) { *dest = v == "yes" }, "yes", "no")
 }
 
-func parseInt(text string, low, high int, into *int) error {
+func parseInt(text string, low, high int, dest *int) error {
 	v, err := strconv.Atoi(text)
 	if err != nil || v < low || v > high {
-		return errors.Wrapf(ErrBadCell, "%q: allowed is a whole number from %d to %d", text, low, high)
+		return errors.Wrapf(ErrBadCell, "%q: must be an integer from %d to %d", text, low, high)
 	}
-	*into = v
+	*dest = v
 	return nil
 }
 
@@ -290,29 +293,29 @@
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-func parseFloat(text string, high float64, into *float64) error {
+func parseFloat(text string, high float64, dest *float64) error {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v <= high) {
-		return errors.Wrapf(ErrBadCell, "%q: allowed is a number from 0 to %g", text, high)
+		return errors.Wrapf(ErrBadCell, "%q: must be a number from 0 to %g", text, high)
 	}
-	*into = v
+	*dest = v
 	return nil
 }
 
-func parseDuration(text string, low, high time.Duration, into *time.Duration) error {
+func parseDuration(text string, low, high time.Duration, dest *time.Duration) error {
 	v, err := time.ParseDuration(text)
 	if err != nil || v < low || v > high {
-		return errors.Wrapf(ErrBadCell, "%q: allowed is a duration from %s to %s, such as 500ms or 2m", text, low, high)
+		return errors.Wrapf(ErrBadCell, "%q: must be a duration from %s to %s, such as 500ms or 2m", text, low, high)
 	}
-	*into = v
+	*dest = v
 	return nil
 }
 
-func parseKeyHash(text string, into *string) error {
+func parseKeyHash(text string, dest *string) error {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != keyHashBytes {
-		return errors.Wrapf(ErrBadCell, "the value: allowed is a SHA-256 in 64 hex digits")
+		return errors.Wrapf(ErrBadCell, "must be a SHA-256 in 64 hex digits")
 	}
-	*into = text
+	*dest = text
 	return nil
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -9,8 +9,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestTablePage compares docs/TABLE.md with the sheets. Run the test with
-// -update to write the page anew.
+// TestTablePage compares docs/TABLE.md with the page generated from the sheets. Run the
+// test with -update to regenerate the page.
 func TestTablePage(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`# The operators' table
@@ -45,12 +45,13 @@
 		r.Record(fmt.Sprint(i), "a", time.Unix(int64(i), 0))
 	}
 	if len(r.Changes) != MaxChanges || r.Version != 2*MaxChanges || !r.HasChange(fmt.Sprint(2*MaxChanges-1)) {
-		t.Errorf("%d changes at version %d", len(r.Changes), r.Version)
+		t.Errorf("history of %d changes at version %d", len(r.Changes), r.Version)
 	}
 }
 
-// FuzzDecode feeds any bytes as a stored row: what is accepted has a known
-// sheet, a name, a version and its own cells, and survives being written again.
+// FuzzDecode checks, for any bytes as a stored row, that an accepted row has a known
+// sheet, a name, a version and its sheet's cells, and that it can be encoded and decoded
+// again without a change of its cells.
 func FuzzDecode(f *testing.F) {
 	for _, s := range Sheets {
 		r := s.NewRow("row")
@@ -68,7 +69,7 @@
 			return
 		}
 		if r.Cells() == nil || r.Version == 0 || r.Name == "" {
-			t.Fatalf("accepted %s", data)
+			t.Fatalf("accepted an incomplete row: %s", data)
 		}
 		it, err := r.Item()
 		if err != nil {
