--- a/internal/catalog/keeper.go
+++ b/internal/catalog/keeper.go
@@ -146,14 +146,14 @@
 func (c *Keeper) refreshLoop(ctx context.Context) {
 	var revision uint64
 	watching := false
-	missing := wait.Backoff{Least: minFirstReadPause, Most: maxRetryPause}
-	failing := wait.Backoff{Least: minRetryPause, Most: maxRetryPause}
+	missing := wait.Backoff{Min: minFirstReadPause, Max: maxRetryPause}
+	failing := wait.Backoff{Min: minRetryPause, Max: maxRetryPause}
 	for ctx.Err() == nil {
 		w, err := c.query(ctx, watching, revision)
 		switch {
 		case err == nil:
 			watching, revision = true, w.Revision
-			failing.Succeeded()
+			failing.Reset()
 			c.recordVerified(w)
 		case errors.Is(err, platform.ErrCompacted):
 			c.log.Emit(event.HistoryGone).Str("of", "catalog").Uint64("revision", revision).Send()
