--- a/internal/callers/head.go
+++ b/internal/callers/head.go
@@ -5,19 +5,19 @@
 	"net/http"
 )
 
-// HeadSeen tells whether a request's header, as received on its connection, has a
+// LengthHeader tells whether a request's header, as received on its connection, has a
 // Content-Length field. net/http removes that field from a request with chunked encoding,
 // so a request with both can't be detected in its http.Header.
-type HeadSeen uint8
+type LengthHeader uint8
 
 const (
-	// HeadUnseen means that the header was not recorded: it was read together with an
+	// LengthHeaderUnknown means that the header was not recorded: it was read together with an
 	// earlier request, or on another listener's connection.
-	HeadUnseen HeadSeen = iota
-	// HeadPlain means that the header has no Content-Length field.
-	HeadPlain
-	// HeadNamesLength means that the header has a Content-Length field.
-	HeadNamesLength
+	LengthHeaderUnknown LengthHeader = iota
+	// LengthHeaderAbsent means that the header has no Content-Length field.
+	LengthHeaderAbsent
+	// LengthHeaderPresent means that the header has a Content-Length field.
+	LengthHeaderPresent
 )
 
 // maxHeaderBytes bounds the recorded part of a header: twice the size that servers here accept.
@@ -44,12 +44,12 @@
 	}
 }
 
-// TakeHead inspects the recorded header of a request and discards it. known is false for a
+// TakeLengthHeader inspects the recorded header of a request and discards it. known is false for a
 // request from another listener's connection.
-func TakeHead(r *http.Request) (seen HeadSeen, known bool) {
+func TakeLengthHeader(r *http.Request) (seen LengthHeader, known bool) {
 	c := connOf(r)
 	if c == nil {
-		return HeadUnseen, false
+		return LengthHeaderUnknown, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,9 +57,9 @@
 	c.header = c.header[:0]
 	switch {
 	case !complete:
-		return HeadUnseen, true
+		return LengthHeaderUnknown, true
 	case bytes.Contains(bytes.ToLower(header), lengthName):
-		return HeadNamesLength, true
+		return LengthHeaderPresent, true
 	}
-	return HeadPlain, true
+	return LengthHeaderAbsent, true
 }
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -63,8 +63,8 @@
 	return err
 }
 
-// Open returns the number of open connections without those of HTTP/2.
-func (s *Server) Open() int {
+// OpenConnections returns the number of open connections without those of HTTP/2.
+func (s *Server) OpenConnections() int {
 	count, _ := s.listener.undrained()
 	return count
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -127,7 +127,7 @@
 	// Never the request's ID, which may come from outside: an attempt that
 	// passes for another would run the key again.
 	attempt := newRequestID()
-	first, rec, err := s.ledger.Begin(ctx, key, attempt, body)
+	first, rec, err := s.ledger.Claim(ctx, key, attempt, body)
 	if err != nil {
 		c.trail.add("ledger: %v", err)
 		// The write may have taken effect though its answer was lost; nothing
@@ -202,7 +202,7 @@
 		return rec
 	}
 	if fault != nil || c.broken {
-		rec.Stage = ledger.Begun
+		rec.Stage = ledger.Started
 		return rec
 	}
 	if a.whole && len(a.body) <= ledger.MaxAnswerBytes {
@@ -295,15 +295,15 @@
 		h.Set(relay.GenerationHeader, generationText(up.Generation))
 	}
 	return relay.Outgoing{
-		Address:   up.Address,
-		Method:    c.method,
-		Path:      c.path,
-		Header:    h,
-		Body:      c.body,
-		RequestID: c.id,
-		Once:      c.once,
-		Echo:      model,
-		Observe:   func(status int, h http.Header) { s.observe(c, d, up, status, h) },
+		Address:     up.Address,
+		Method:      c.method,
+		Path:        c.path,
+		Header:      h,
+		Body:        c.body,
+		RequestID:   c.id,
+		AtMostOnce:  c.once,
+		RequireEcho: model,
+		OnResponse:  func(status int, h http.Header) { s.observe(c, d, up, status, h) },
 	}
 }
 
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -63,7 +63,7 @@
 	if resp.ContentLength > maxKeptBody {
 		return keptAnswer{}, s.relayLarge(w, c, resp)
 	}
-	body, err := relay.Whole(resp, maxKeptBody)
+	body, err := relay.ReadBody(resp, maxKeptBody)
 	if err != nil {
 		return keptAnswer{}, verdict.As(err)
 	}
@@ -128,7 +128,7 @@
 			c.trail.add("stream complete after event %d", stream.Last())
 			return nil
 		}
-		if errors.Is(err, relay.ErrCallerGone) {
+		if errors.Is(err, relay.ErrCallerDisconnected) {
 			c.trail.add("caller left after event %d", stream.Last())
 			return nil
 		}
@@ -276,15 +276,15 @@
 	h.Del(DeadlineHeader)
 	s.tracer.Inject(ctx, h)
 	resp, err := s.sender.Send(ctx, relay.Outgoing{
-		Address:   peer.EntryPeer,
-		Method:    c.method,
-		Path:      c.callerPath(),
-		Header:    h,
-		Body:      c.body,
-		RequestID: c.id,
-		Once:      c.once,
-		Peer:      true,
-		Echo:      true,
+		Address:     peer.EntryPeer,
+		Method:      c.method,
+		Path:        c.callerPath(),
+		Header:      h,
+		Body:        c.body,
+		RequestID:   c.id,
+		AtMostOnce:  c.once,
+		Peer:        true,
+		RequireEcho: true,
 	})
 	if err != nil {
 		return verdict.As(err)
@@ -314,7 +314,7 @@
 // passOn sends the other entry's answer to the caller as it comes.
 func (s *Server) passOn(w http.ResponseWriter, c *call, resp *http.Response) *verdict.Error {
 	if resp.Header.Get("Content-Type") != "text/event-stream" {
-		body, err := relay.Whole(resp, maxKeptBody)
+		body, err := relay.ReadBody(resp, maxKeptBody)
 		if err != nil {
 			return verdict.As(err)
 		}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -229,7 +229,7 @@
 	// What is read meanwhile is refused, in an answer.
 	err := s.callers.Drain(closing, s.config.Linger)
 	if err != nil {
-		s.log.Emit(event.StopLimit).Int("connections", s.callers.Open()).Err(err).Send()
+		s.log.Emit(event.StopLimit).Int("connections", s.callers.OpenConnections()).Err(err).Send()
 	}
 	return errors.CombineErrors(s.callers.Close(), s.peer.Stop(closing))
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -285,17 +285,17 @@
 		a.LastEvent = j.out.last
 	}
 	return relay.Outgoing{
-		Address:   s.vm.Address,
-		Method:    j.c.Method,
-		Path:      j.c.Path + j.c.Query,
-		Host:      j.c.Host,
-		Header:    j.s.upstream.Header(j.c, a),
-		Body:      j.c.Body,
-		RequestID: j.c.ID,
-		Once:      !j.c.Route.Repeatable(),
-		Echo:      true,
-		Dialect:   j.s.upstream,
-		Observe:   func(status int, h http.Header) { j.observe(now, s, status, h) },
+		Address:     s.vm.Address,
+		Method:      j.c.Method,
+		Path:        j.c.Path + j.c.Query,
+		Host:        j.c.Host,
+		Header:      j.s.upstream.Header(j.c, a),
+		Body:        j.c.Body,
+		RequestID:   j.c.ID,
+		AtMostOnce:  !j.c.Route.Repeatable(),
+		RequireEcho: true,
+		Dialect:     j.s.upstream,
+		OnResponse:  func(status int, h http.Header) { j.observe(now, s, status, h) },
 	}
 }
 
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -97,9 +97,9 @@
 type UpstreamDialect interface {
 	// Header returns the header of a send.
 	Header(c *Call, a Attempt) http.Header
-	// Mark and Judge make it a relay.Dialect.
-	Mark(h http.Header, requestID string)
-	Judge(resp *http.Response, requestID string) error
+	// SetRequestID and CheckResponse make it a relay.Dialect.
+	SetRequestID(h http.Header, requestID string)
+	CheckResponse(resp *http.Response, requestID string) error
 	// Condition is what an answer says of the upstream's own condition. The error names what
 	// can't be read; the notice holds the rest.
 	Condition(status int, h http.Header) (backpressure.Notice, error)
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -11,12 +11,12 @@
 // its own for another. Where that can't be told, the connection ends with the answer, so that nothing
 // hidden behind the request is read.
 func framing(w http.ResponseWriter, r *http.Request) *verdict.Error {
-	seen, known := callers.TakeHead(r)
-	if !known || len(r.TransferEncoding) == 0 || seen == callers.HeadPlain {
+	seen, known := callers.TakeLengthHeader(r)
+	if !known || len(r.TransferEncoding) == 0 || seen == callers.LengthHeaderAbsent {
 		return nil
 	}
 	w.Header().Set("Connection", "close")
-	if seen == callers.HeadUnseen {
+	if seen == callers.LengthHeaderUnknown {
 		return nil
 	}
 	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusBadRequest, Code: codeBadBody, Detail: "the request names a length and comes in chunks"}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -309,7 +309,7 @@
 	s.stopEnd.Store(&end)
 	err := s.callers.Drain(limit, s.config.Linger)
 	if err != nil {
-		s.log.Emit(event.StopLimit).Int("connections", s.callers.Open()).Err(err).Send()
+		s.log.Emit(event.StopLimit).Int("connections", s.callers.OpenConnections()).Err(err).Send()
 	}
 	s.end()
 	closing, cancelClosing := context.WithTimeout(context.Background(), closeLimit)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -48,8 +48,8 @@
 
 // The stages.
 const (
-	// Begun means that the request may have been sent.
-	Begun Stage = "begun"
+	// Started means that the request may have been sent.
+	Started Stage = "begun"
 	// Answered means that the request ran and its response is known.
 	Answered Stage = "answered"
 	// Released means that the request did not run; the key may start again.
@@ -123,10 +123,10 @@
 	return int(xxhash.Sum64String(key) % Buckets)
 }
 
-// Begin claims the key for the attempt. first is true when this attempt may
+// Claim reserves the key for the attempt. first is true when this attempt may
 // send the request; otherwise rec is the record of an earlier attempt. On any
 // error the request must not be sent.
-func (l *Ledger) Begin(ctx context.Context, key, attempt, body string) (first bool, rec Record, err error) {
+func (l *Ledger) Claim(ctx context.Context, key, attempt, body string) (first bool, rec Record, err error) {
 	c := l.committer(BucketOf(key))
 	op := &operation{key: key, apply: func(old Record, found bool) (Record, error) {
 		switch {
@@ -140,7 +140,7 @@
 		return Record{
 			Attempt: attempt,
 			Body:    body,
-			Stage:   Begun,
+			Stage:   Started,
 			Expires: l.now().Add(l.window).Unix(),
 		}, nil
 	}}
@@ -149,7 +149,7 @@
 }
 
 // Finish stores the attempt's outcome in the background, with retries. Until
-// it is stored, other attempts read Begun, which never lets a request run twice.
+// it is stored, other attempts read Started, which never lets a request run twice.
 func (l *Ledger) Finish(key string, outcome Record) {
 	c := l.committer(BucketOf(key))
 	newOperation := func() *operation {
@@ -333,8 +333,8 @@
 		return false, nil
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrUnknown):
 		if loadErr := c.load(ctx); loadErr != nil {
-			// Begin returns this error, so its caller sends nothing. But the write may
-			// have been stored, and then later attempts read Begun for a request that
+			// Claim returns this error, so its caller sends nothing. But the write may
+			// have been stored, and then later attempts read Started for a request that
 			// was never sent.
 			c.baseVersion = 0
 			return false, errors.CombineErrors(err, loadErr)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -85,7 +85,7 @@
 				k, e := key.Draw(t, "key"), entry.Draw(t, "entry")
 				attempts++
 				attempt := fmt.Sprint(attempts)
-				first, rec, err := entries[e].Begin(context.Background(), k, attempt, "body")
+				first, rec, err := entries[e].Claim(context.Background(), k, attempt, "body")
 				if err != nil {
 					return
 				}
@@ -122,7 +122,7 @@
 				if !ok || !old.mayHaveRun || s.down || s.loseResponses > 0 || clock.Sub(old.at) >= window {
 					return
 				}
-				if first, _, _ := entries[e].Begin(context.Background(), k, "other", "other"); first {
+				if first, _, _ := entries[e].Claim(context.Background(), k, "other", "other"); first {
 					t.Fatal("a key was claimed with another body")
 				}
 			},
@@ -147,7 +147,7 @@
 		go func() {
 			defer submitters.Done()
 			_, _ = c.submit(context.Background(), &operation{key: fmt.Sprint(i), apply: func(Record, bool) (Record, error) {
-				return Record{Attempt: fmt.Sprint(i), Stage: Begun, Expires: time.Now().Add(time.Hour).Unix()}, nil
+				return Record{Attempt: fmt.Sprint(i), Stage: Started, Expires: time.Now().Add(time.Hour).Unix()}, nil
 			}})
 		}()
 	}
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -40,18 +40,18 @@
 
 // Codes of the errors that Send and its callers return.
 const (
-	CodeUnreachable = "upstream-unreachable"
-	CodeRefused     = "upstream-refused"
-	CodeBroken      = "upstream-broken"
-	CodeForeign     = "foreign-answer"
-	CodeDeadline    = "deadline"
+	CodeUnreachable      = "upstream-unreachable"
+	CodeRefused          = "upstream-refused"
+	CodeBroken           = "upstream-broken"
+	CodeResponseMismatch = "foreign-answer"
+	CodeDeadline         = "deadline"
 	// CodeMisdirected means that another VM has the address now, or that the VM is
 	// not the head of a group.
 	CodeMisdirected = "upstream-misdirected"
 )
 
-// ErrForeignAnswer means that a response belongs to another request.
-var ErrForeignAnswer = errors.New("the response belongs to another request")
+// ErrResponseMismatch means that a response belongs to another request.
+var ErrResponseMismatch = errors.New("the response belongs to another request")
 
 // Outgoing is one request to one upstream.
 type Outgoing struct {
@@ -61,29 +61,29 @@
 	Header    http.Header
 	Body      []byte
 	RequestID string
-	// Once is true when the request must run at most once. It is sent on a new
+	// AtMostOnce is true when the request must run at most once. It is sent on a new
 	// connection, on which net/http never replays a request.
-	Once bool
+	AtMostOnce bool
 	// Peer is true when the request goes to another entry, over mutual TLS if that is configured.
 	Peer bool
-	// Echo is true when the upstream's protocol requires the response to echo the request ID.
-	Echo bool
+	// RequireEcho is true when the upstream's protocol requires the response to echo the request ID.
+	RequireEcho bool
 	// Host is the host that is sent to the upstream; empty for the address.
 	Host string
 	// Dialect is the upstream's variant of the protocol; nil for marbleroad's own.
 	Dialect Dialect
-	// Observe, if set, is called with the status and header of a response of the intended upstream,
+	// OnResponse, if set, is called with the status and header of a response of the intended upstream,
 	// also of one that refuses the request.
-	Observe func(status int, h http.Header)
+	OnResponse func(status int, h http.Header)
 }
 
 // Dialect is a variant of the protocol to upstreams.
 type Dialect interface {
-	// Mark sets the header fields that identify the request.
-	Mark(h http.Header, requestID string)
-	// Judge returns nil when the response belongs to the request and the upstream
+	// SetRequestID sets the header fields that identify the request.
+	SetRequestID(h http.Header, requestID string)
+	// CheckResponse returns nil when the response belongs to the request and the upstream
 	// ran the request; otherwise a *verdict.Error with the reason.
-	Judge(resp *http.Response, requestID string) error
+	CheckResponse(resp *http.Response, requestID string) error
 }
 
 // Sender sends requests to upstreams and other entries. It may be used from any goroutine.
@@ -212,7 +212,7 @@
 // read. The caller must close the body. Every error is a *verdict.Error.
 func (s *Sender) Send(ctx context.Context, o Outgoing) (*http.Response, error) {
 	transport := s.pooled
-	if o.Once {
+	if o.AtMostOnce {
 		transport = s.singleUse
 	}
 	resp, tracker, err := s.roundTrip(ctx, transport, o)
@@ -223,8 +223,8 @@
 		return nil, classify(ctx, tracker, err)
 	}
 	rejection := o.checkResponse(resp)
-	if o.Observe != nil && fromIntendedUpstream(rejection) {
-		o.Observe(resp.StatusCode, resp.Header)
+	if o.OnResponse != nil && fromIntendedUpstream(rejection) {
+		o.OnResponse(resp.StatusCode, resp.Header)
 	}
 	if rejection != nil {
 		_ = resp.Body.Close()
@@ -258,7 +258,7 @@
 // checkResponse returns an error unless the response shows that the upstream ran the request.
 func (o Outgoing) checkResponse(resp *http.Response) error {
 	if o.Dialect != nil {
-		return o.Dialect.Judge(resp, o.RequestID)
+		return o.Dialect.CheckResponse(resp, o.RequestID)
 	}
 	return checkHeaders(resp, o)
 }
@@ -331,7 +331,7 @@
 // setRequestID sets the header fields that identify the request.
 func (o Outgoing) setRequestID(h http.Header) {
 	if o.Dialect != nil {
-		o.Dialect.Mark(h, o.RequestID)
+		o.Dialect.SetRequestID(h, o.RequestID)
 		return
 	}
 	h.Set(RequestIDHeader, o.RequestID)
@@ -360,8 +360,8 @@
 // that states that the upstream did not run the request.
 func checkHeaders(resp *http.Response, o Outgoing) error {
 	echo := resp.Header.Get(RequestIDHeader)
-	if echo != o.RequestID && (o.Echo || echo != "") {
-		return failure(verdict.MayHaveRun, CodeForeign, "the response belongs to another request", ErrForeignAnswer)
+	if echo != o.RequestID && (o.RequireEcho || echo != "") {
+		return failure(verdict.MayHaveRun, CodeResponseMismatch, "the response belongs to another request", ErrResponseMismatch)
 	}
 	if resp.Header.Get(RefusedHeader) == refusedNotRun {
 		return failure(verdict.NotRun, CodeRefused, "the upstream refused the request before running it", nil)
@@ -382,9 +382,9 @@
 	return &verdict.Error{Verdict: v, Status: status, Code: code, Detail: detail, Cause: cause}
 }
 
-// Whole reads a response's complete body, which may have at most limit bytes. Its errors
+// ReadBody reads a response's complete body, which may have at most limit bytes. Its errors
 // are *verdict.Error with MayHaveRun.
-func Whole(resp *http.Response, limit int64) ([]byte, error) {
+func ReadBody(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return nil, failure(verdict.MayHaveRun, CodeBroken, "the response was interrupted", err)
--- a/internal/relay/sender_test.go
+++ b/internal/relay/sender_test.go
@@ -79,7 +79,7 @@
 
 func send(s *Sender, address, method string, once bool, body string, h http.Header) (*http.Response, error) {
 	return s.Send(context.Background(), Outgoing{
-		Address: address, Method: method, Path: "/x", Header: h, Body: []byte(body), RequestID: "r", Once: once, Echo: true,
+		Address: address, Method: method, Path: "/x", Header: h, Body: []byte(body), RequestID: "r", AtMostOnce: once, RequireEcho: true,
 	})
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -16,8 +16,8 @@
 // ErrSequence means that a stream's events are not numbered consecutively.
 var ErrSequence = errors.New("stream events out of sequence")
 
-// ErrCallerGone means that the caller closed its connection.
-var ErrCallerGone = errors.New("the caller disconnected")
+// ErrCallerDisconnected means that the caller closed its connection.
+var ErrCallerDisconnected = errors.New("the caller disconnected")
 
 const (
 	// maxEventBytes bounds a line of the stream, and the data of an event.
@@ -77,7 +77,7 @@
 		}
 		if done || r.Buffered() == 0 {
 			if err := s.flush(); err != nil {
-				return done, errors.Mark(err, ErrCallerGone)
+				return done, errors.Mark(err, ErrCallerDisconnected)
 			}
 		}
 		if done {
@@ -172,7 +172,7 @@
 		return false, errors.Wrapf(ErrSequence, "event %d after %d", ev.id, s.last)
 	}
 	if err := s.write(ev); err != nil {
-		return false, errors.Mark(err, ErrCallerGone)
+		return false, errors.Mark(err, ErrCallerDisconnected)
 	}
 	s.last = ev.id
 	s.events++
--- a/internal/relay/takeback_test.go
+++ b/internal/relay/takeback_test.go
@@ -29,7 +29,7 @@
 			ended <- err
 		})
 		s := NewSender(&net.Dialer{}, nil)
-		if _, err := s.Send(ctx, Outgoing{Address: address, Method: http.MethodPost, Path: "/x", Body: []byte("hail"), RequestID: "r", Once: once}); err == nil {
+		if _, err := s.Send(ctx, Outgoing{Address: address, Method: http.MethodPost, Path: "/x", Body: []byte("hail"), RequestID: "r", AtMostOnce: once}); err == nil {
 			t.Fatal("a request without a response succeeded")
 		}
 		if err := <-ended; !errors.Is(err, syscall.ECONNRESET) {
--- a/internal/table/references.go
+++ b/internal/table/references.go
@@ -25,7 +25,7 @@
 			return errors.Wrapf(ErrReference, "column team: team %q does not exist", r.Limit.Team)
 		}
 	case r.Service != nil && r.Service.Kind == Plain && r.Service.Pool == "":
-		return errors.Wrapf(ErrBadCell, "column pool: a plain service needs a pool")
+		return errors.Wrapf(ErrInvalidCell, "column pool: a plain service needs a pool")
 	case r.Team != nil:
 		return checkTeamKey(r, rows)
 	}
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -16,8 +16,8 @@
 var (
 	ErrUnknownSheet  = errors.New("unknown sheet")
 	ErrUnknownColumn = errors.New("unknown column")
-	ErrBadCell       = errors.New("invalid cell")
-	ErrBadRow        = errors.New("invalid stored row")
+	ErrInvalidCell   = errors.New("invalid cell")
+	ErrInvalidRow    = errors.New("invalid stored row")
 )
 
 // SheetName names a sheet of the table.
@@ -194,14 +194,14 @@
 func Decode(value []byte) (*Row, error) {
 	var r Row
 	if err := json.Unmarshal(value, &r); err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "decode row"), ErrBadRow)
+		return nil, errors.Mark(errors.Wrap(err, "decode row"), ErrInvalidRow)
 	}
 	sheet, err := Lookup(r.Sheet)
 	if err != nil {
-		return nil, errors.Mark(err, ErrBadRow)
+		return nil, errors.Mark(err, ErrInvalidRow)
 	}
 	if r.Version == 0 || r.Name == "" || !sheet.hasCells(&r) {
-		return nil, errors.Wrapf(ErrBadRow, "%s/%s version %d", r.Sheet, r.Name, r.Version)
+		return nil, errors.Wrapf(ErrInvalidRow, "%s/%s version %d", r.Sheet, r.Name, r.Version)
 	}
 	return &r, nil
 }
--- a/internal/table/sheet.go
+++ b/internal/table/sheet.go
@@ -27,7 +27,7 @@
 // CheckName checks the name of a row.
 func CheckName(name string) error {
 	if !namePattern.MatchString(name) {
-		return errors.Wrapf(ErrBadCell, "name %q: must be 1 to 63 of a-z, 0-9, dot, underscore and hyphen, and start with a letter or digit", name)
+		return errors.Wrapf(ErrInvalidCell, "name %q: must be 1 to 63 of a-z, 0-9, dot, underscore and hyphen, and start with a letter or digit", name)
 	}
 	return nil
 }
@@ -250,7 +250,7 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrBadCell, "%q: must be one of %v", text, allowed)
+	return errors.Wrapf(ErrInvalidCell, "%q: must be one of %v", text, allowed)
 }
 
 func requiredName(text string, dest *string) error {
@@ -283,7 +283,7 @@
 func parseInt(text string, low, high int, dest *int) error {
 	v, err := strconv.Atoi(text)
 	if err != nil || v < low || v > high {
-		return errors.Wrapf(ErrBadCell, "%q: must be an integer from %d to %d", text, low, high)
+		return errors.Wrapf(ErrInvalidCell, "%q: must be an integer from %d to %d", text, low, high)
 	}
 	*dest = v
 	return nil
@@ -296,7 +296,7 @@
 func parseFloat(text string, high float64, dest *float64) error {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v <= high) {
-		return errors.Wrapf(ErrBadCell, "%q: must be a number from 0 to %g", text, high)
+		return errors.Wrapf(ErrInvalidCell, "%q: must be a number from 0 to %g", text, high)
 	}
 	*dest = v
 	return nil
@@ -305,7 +305,7 @@
 func parseDuration(text string, low, high time.Duration, dest *time.Duration) error {
 	v, err := time.ParseDuration(text)
 	if err != nil || v < low || v > high {
-		return errors.Wrapf(ErrBadCell, "%q: must be a duration from %s to %s, such as 500ms or 2m", text, low, high)
+		return errors.Wrapf(ErrInvalidCell, "%q: must be a duration from %s to %s, such as 500ms or 2m", text, low, high)
 	}
 	*dest = v
 	return nil
@@ -314,7 +314,7 @@
 func parseKeyHash(text string, dest *string) error {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != keyHashBytes {
-		return errors.Wrapf(ErrBadCell, "must be a SHA-256 in 64 hex digits")
+		return errors.Wrapf(ErrInvalidCell, "must be a SHA-256 in 64 hex digits")
 	}
 	*dest = text
 	return nil
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -234,7 +234,7 @@
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
   's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
-  's/\tpreventReplay\(req\)\n/\tif o.Once {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestEachSendArrivesAtMostOnce
+  's/\tpreventReplay\(req\)\n/\tif o.AtMostOnce {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestEachSendArrivesAtMostOnce
 mutant "a stale connection is a failure" internal/relay/sender.go \
   's/return w\.reused \&\& /return false \&\& /' ./internal/relay TestStaleConnectionIsReplaced
 mutant "missing entries are kept from the first answer on" internal/fleet/outage.go \
