--- a/internal/cluster/sharing.go
+++ b/internal/cluster/sharing.go
@@ -54,7 +54,7 @@
 		domainReachable = domainReachable || (p.State != nil && now.Sub(p.LastSeen) <= livenessTimeout)
 	}
 	if !domainReachable {
-		out.Nodes, out.Foreign = others, true
+		out.Nodes, out.Remote = others, true
 	}
 	return out
 }
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -14,13 +14,13 @@
 	"github.com/marbleroad/marbleroad/internal/platform"
 )
 
-// mostWait bounds how long one question of a follower is held.
-const mostWait = 5 * time.Second
+// maxFollowWait bounds how long a follower's request waits for changes.
+const maxFollowWait = 5 * time.Second
 
-// Server answers followers from what this node has read.
+// Server responds to followers from what this node has read.
 type Server struct {
 	Directory *fleet.Directory
-	Keeper    *catalog.Cache
+	Cache     *catalog.Cache
 
 	packer packer
 }
@@ -28,22 +28,23 @@
 // FollowFleet implements part of ClusterService.
 func (s *Server) FollowFleet(ctx context.Context, r *connect.Request[marbleroadv1.FollowFleetRequest]) (*connect.Response[marbleroadv1.FollowFleetResponse], error) {
 	arrived := clock.Now()
-	w, err := s.await(ctx, r.Msg.GetRevision(), min(milliseconds(r.Msg.GetWaitMs()), mostWait))
+	w, err := s.awaitChanges(ctx, r.Msg.GetRevision(), min(milliseconds(r.Msg.GetWaitMs()), maxFollowWait))
 	if errors.Is(err, platform.ErrCompacted) {
 		return connect.NewResponse(&marbleroadv1.FollowFleetResponse{Compacted: true}), nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	out := &marbleroadv1.FollowFleetResponse{Revision: w.Revision, ProvenAfterMs: after(arrived, w.VerifiedAt)}
+	out := &marbleroadv1.FollowFleetResponse{Revision: w.Revision, ProvenAfterMs: verifiedAfterMS(arrived, w.VerifiedAt)}
 	for _, c := range w.Changes {
-		out.Changes = append(out.Changes, &marbleroadv1.FleetChange{Vm: fromVM(c.VM), Removed: c.Removed})
+		out.Changes = append(out.Changes, &marbleroadv1.FleetChange{Vm: encodeVM(c.VM), Removed: c.Removed})
 	}
 	return connect.NewResponse(out), nil
 }
 
-// await waits for changes after the revision; a follower at none knows nothing yet and gets the whole list.
-func (s *Server) await(ctx context.Context, revision uint64, limit time.Duration) (fleet.WatchResult, error) {
+// awaitChanges waits for changes after the revision. A follower at revision 0 has no list yet and
+// gets the full one.
+func (s *Server) awaitChanges(ctx context.Context, revision uint64, limit time.Duration) (fleet.WatchResult, error) {
 	if revision == 0 {
 		return s.Directory.AwaitList(ctx, limit)
 	}
@@ -53,14 +54,14 @@
 // FollowCatalog implements part of ClusterService.
 func (s *Server) FollowCatalog(ctx context.Context, r *connect.Request[marbleroadv1.FollowCatalogRequest]) (*connect.Response[marbleroadv1.FollowCatalogResponse], error) {
 	arrived := clock.Now()
-	known := s.Keeper.Await(ctx, r.Msg.GetVersion(), min(milliseconds(r.Msg.GetWaitMs()), mostWait))
-	out := &marbleroadv1.FollowCatalogResponse{Version: known.Version, Revision: known.Revision,
-		ProvenAfterMs: after(arrived, clock.Now().Add(-known.VerifiedAge))}
-	if known.Version <= r.Msg.GetVersion() {
+	state := s.Cache.Await(ctx, r.Msg.GetVersion(), min(milliseconds(r.Msg.GetWaitMs()), maxFollowWait))
+	out := &marbleroadv1.FollowCatalogResponse{Version: state.Version, Revision: state.Revision,
+		ProvenAfterMs: verifiedAfterMS(arrived, clock.Now().Add(-state.VerifiedAge))}
+	if state.Version <= r.Msg.GetVersion() {
 		return connect.NewResponse(out), nil
 	}
-	// A still newer one may have been adopted since, which is as well proven.
-	current := s.Keeper.Catalog()
+	// A newer version may have been adopted since. It is verified as recently.
+	current := s.Cache.Catalog()
 	document, err := s.packer.pack(current)
 	if err != nil {
 		return nil, err
@@ -69,9 +70,9 @@
 	return connect.NewResponse(out), nil
 }
 
-// after is when something was proven, in milliseconds after a question's arrival,
-// rounded down. Older than a minute is all alike.
-func after(arrived, provenAt time.Time) int32 {
-	const most = time.Minute
-	return int32(max(provenAt.Sub(arrived), -most).Milliseconds()) - 1
+// verifiedAfterMS returns when something was verified, in milliseconds after the arrival of a request,
+// rounded down. Anything older than a minute counts as a minute.
+func verifiedAfterMS(arrived, verifiedAt time.Time) int32 {
+	const maxAge = time.Minute
+	return int32(max(verifiedAt.Sub(arrived), -maxAge).Milliseconds()) - 1
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -120,11 +120,11 @@
 mutant "a first event is not waited for by its prediction" internal/gateway/stalls.go \
   's/firstFactor\*longest/0*longest/' ./internal/gateway TestOneStreamAtABusyHead
 mutant "a leader's watch waits for long" internal/feed/feed.go \
-  's/return min\(most, leaderWait\)/return most/' ./internal/feed TestLeadersProofStaysYoung
+  's/return min\(maxWait, leaderWait\)/return maxWait/' ./internal/feed TestLeaderVerificationStaysRecent
 mutant "a first configuration is asked for again and again" internal/catalog/keeper.go \
   's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWatched
 mutant "followers press a store that is away" internal/feed/feed.go \
-  's/if now\.Before\(o\.quietUntil\) && /if false \&\& /' ./internal/feed TestFollowersLeaveADeadStoreToTheirLeaders
+  's/if now\.Before\(p\.backoffUntil\) && /if false \&\& /' ./internal/feed TestFollowersBackOffFromUnreachableStore
 mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
   's/\t\t\tp\.State, p\.LastSeen = state, now\n//; s/maxKnownNodes: c\.maxKnownNodes, //' ./internal/cluster TestNodesThatCountDifferently
 mutant "a group whose head has not reported yet is broken up" internal/director/dissolve.go \
@@ -136,7 +136,7 @@
 mutant "a head is opened though a member has left" internal/director/groups.go \
   's/case !gs\.incompleteSince\.IsZero\(\):\n\t\ts\.startDissolving.*?\n//' ./internal/director TestHeadOpenedAfterAMemberLeft
 mutant "a share rises at once" internal/quota/damper.go \
-  's/least = min\(least, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
+  's/minShare = min\(minShare, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
 mutant "the urgent wait behind the rest" internal/admission/queue.go \
   's/for p := priorities - 1; p >= 0; p--/for p := 0; p < priorities; p++/' ./test/policy/bench TestFlood
 mutant "operators need no token" internal/control/operator.go \
@@ -214,9 +214,9 @@
 mutant "a lost answer is waited for" internal/gateway/stalls.go \
   's/now\.Sub\(s\.lastByte\) > b\.lostAfter\(s\)/false/' ./internal/gateway TestLostAnswerAtALivelyHead
 mutant "a silent leader is followed on" internal/feed/feed.go \
-  's/l\.failedUntil\[leader\.ID\] = now\.Add\(failedFor\)//; s/q\.wait\+answerTime/time.Hour/; s/q\.wait\+mostTransfer/time.Hour/' ./internal/feed TestSilentLeader
+  's/l\.failedUntil\[leader\.ID\] = now\.Add\(failureBackoff\)//; s/q\.wait\+responseMargin/time.Hour/; s/q\.wait\+maxTransfer/time.Hour/' ./internal/feed TestUnresponsiveLeader
 mutant "a leader out of touch is followed" internal/feed/feed.go \
-  's/err == nil \&\& age > q\.mostAge/false/' ./internal/feed TestLeaderOutOfTouch
+  's/err == nil \&\& age > q\.maxAge/false/' ./internal/feed TestDisconnectedLeader
 mutant "idle connections stay" internal/callers/conn.go \
   's/state == http\.StateIdle/state == http.StateHijacked/' ./internal/callers TestIdleConnectionIsClosed
 mutant "an unanswered join counts as not sent" internal/director/groups.go \
@@ -226,11 +226,11 @@
 mutant "a leave does not count as accepted" internal/director/answers.go \
   's/m\.started \|\| m\.order\.Operation == engine\.Leave/m.started/' ./internal/director TestLeaveCounts
 mutant "credits for repeats don't end" internal/retry/budget.go \
-  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsEndWithTheirWindow
+  's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsExpireAfterOneWindow
 mutant "a request earns its whole ratio at once" internal/retry/budget.go \
-  's/b\.limit\.Ratio \/ spread/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
+  's/b\.limit\.Ratio \/ windowsPerCredit/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
 mutant "a new life has its fixed part at once" internal/retry/budget.go \
-  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestRepeatsOfManyLives
+  's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestLimitHoldsAcrossRestarts
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
   's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
@@ -261,11 +261,11 @@
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestCrowdGetsItsAnswersInTime
 mutant "the offset is not learned" internal/batch/offset.go \
-  's/if took > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
+  's/if elapsed > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
 mutant "late requests are taken like others" internal/batch/admit.go \
-  's/return w\.InFlight < e\.Slots \&\& e\.First/return true || e.First/' ./internal/batch TestAdmit
+  's/return load\.InFlight < e\.Slots \&\& e\.TimeToFirstEvent/return true || e.TimeToFirstEvent/' ./internal/batch TestAdmit
 mutant "less urgent requests are taken like others" internal/batch/admit.go \
-  's/r\.Kept \* float64/0 * float64/' ./internal/batch TestAdmit
+  's/r\.Reserved \* float64/0 * float64/' ./internal/batch TestAdmit
 mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
   's/return m\.usual - patience/return 0/' ./internal/gateway TestReturningCallersAreKnownByTheirPatience
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
@@ -279,9 +279,9 @@
 mutant "a slow plain upstream gets as much as others" internal/gateway/predict.go \
   's/if t\.group != "" \|\|/if true ||/' ./internal/gateway TestSlowPlainUpstreamTakesLess
 mutant "a failed leader leaves no other" internal/feed/feed.go \
-  's/mostLeaders = 3/mostLeaders = 1/' ./internal/feed TestNextLeaderIsFollowed
+  's/maxLeaders = 3/maxLeaders = 1/' ./internal/feed TestNextLeaderIsFollowed
 mutant "a follower reads new configurations itself" internal/feed/catalog.go \
-  's/if next\.GetVersion\(\) > known \{/if next.GetVersion() > known {\n\t\treturn c.watch(ctx, revision, 0)\n\t}\n\tif false {/' ./internal/feed TestFollowerTakesNewConfiguration
+  's/if next\.GetVersion\(\) > known \{/if next.GetVersion() > known {\n\t\treturn c.watch(ctx, revision, 0)\n\t}\n\tif false {/' ./internal/feed TestFollowerAdoptsNewConfiguration
 mutant "tries after a failure don't slow down" internal/wait/backoff.go \
   's/b\.failures\+\+//' ./internal/wait TestBackoffGrowsToItsBound
 
@@ -289,35 +289,35 @@
   's/if !b\.serves\(c\)/if false/' ./internal/gateway TestMadeUpNamesLeaveNothingBehind
 
 mutant "ends are not counted together" internal/quarantine/record.go \
-  's/r\.Ends = slices\.Insert\(r\.Ends, at, e\)/r.Ends = slices.Insert(r.Ends[:0], at*0, e)/' ./internal/quarantine TestNodesCountTogether
+  's/r\.Terminations = slices\.Insert\(r\.Terminations, at, e\)/r.Terminations = slices.Insert(r.Terminations[:0], at*0, e)/' ./internal/quarantine TestTerminationsOfMergedTablesAddUp
 mutant "two ends are enough" internal/quarantine/record.go \
-  's/endsToQuarantine = 3/endsToQuarantine = 2/' ./internal/quarantine TestVerdicts
+  's/terminationsToQuarantine = 3/terminationsToQuarantine = 2/' ./internal/quarantine TestVerdicts
 mutant "company does not matter" internal/quarantine/table.go \
-  's/if alone \&\& /if /' ./internal/quarantine TestVerdicts
+  's/if onlySuspect \&\& /if /' ./internal/quarantine TestVerdicts
 mutant "an answer clears nothing" internal/quarantine/record.go \
-  's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesAgree'
+  's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesConverge'
 mutant "a request in quarantine is sent" internal/gateway/suspects.go \
   's/case j\.c\.judged\.Quarantined > 0:/case false:/' ./internal/gateway TestRequestThatCrashesUpstreamsEnds
 mutant "ends of upstreams are attempts" internal/gateway/suspects.go \
   's/j\.ended\+\+\n/_ = j.ended\n/' ./internal/gateway TestUpstreamsThatCrashCostNoAnswer
 mutant "the table is not bounded" internal/quarantine/table.go \
-  's/t\.bound\(mostProved/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
+  's/t\.bound\(maxConfirmed/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
 mutant "news are not told" internal/quarantine/gossip.go \
   's/for _, r := range records \{\n\t\tout\.Records/for _, r := range records[:0] {\n\t\tout.Records/' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what was missed is not told anew" internal/quarantine/gossip.go \
   's/if differs \&\& /if false \&\& /' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
 mutant "what others told is passed on to all" internal/quarantine/gossip.go \
-  's/p\.asked, mostTold, relay/p.asked, mostTold, relay || true/' ./internal/cluster TestManyCrashesSendBoundedRecords
+  's/p\.requestChange, maxMessageRecords, relay/p.requestChange, maxMessageRecords, relay || true/' ./internal/cluster TestManyCrashesSendBoundedRecords
 mutant "the store is not read at the start" internal/quarantine/archive.go \
-  's/if !first \&\& !a\.reads\(\)/if first || !a.reads()/' ./internal/quarantine TestQuarantineOutlivesAllNodes
+  's/if !firstRead \&\& !a\.reads\(\)/if firstRead || !a.reads()/' ./internal/quarantine TestQuarantineSurvivesRestartOfAllNodes
 mutant "what the store holds is not taken" internal/quarantine/archive.go \
-  's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestNodesThatHearOnlyTheStore
+  's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestPartitionedNodesMergeThroughStore
 mutant "the store is asked every second" internal/quarantine/archive.go \
-  's/archiveWait = 10 \* time\.Second/archiveWait = time.Second/' ./internal/quarantine TestArchiveCostsFewCalls
+  's/watchTimeout = 10 \* time\.Second/watchTimeout = time.Second/' ./internal/quarantine TestArchiveMakesFewCalls
 mutant "each answer that is told is news" internal/quarantine/record.go \
-  's/ended := len\(r\.Ends\) > 0 \&\& !r\.Ends\[0\]\.At\.After\(at\)/ended := len(r.Ends) == 0/' ./internal/quarantine TestMergesAgree
+  's/hasTerminations := len\(r\.Terminations\) > 0 \&\& !r\.Terminations\[0\]\.At\.After\(at\)/hasTerminations := len(r.Terminations) == 0/' ./internal/quarantine TestMergesConverge
 mutant "a hanging watch is waited for" internal/quarantine/archive.go \
-  's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestWatchThatHangsIsLeft
+  's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestRefreshCancelsHangingWatch
 mutant "a suspension does not count" internal/clock/clock.go \
   's/return now\.Add\(Suspended\(\)\)/return now/' ./internal/gateway 'TestKeysEndOverASuspension|TestTimeLeftOverASuspension'
 mutant "only members are named as leading" internal/cluster/share.go \
@@ -328,15 +328,15 @@
 mutant "each node reads the whole configuration" internal/feed/firstread.go \
   's/if !ranked \{/if !ranked || rank >= 0 {/' ./internal/feed TestLargeConfigurationAtARestartOfAllNodes
 mutant "a reader that the platform refuses asks nobody" internal/feed/firstread.go \
-  's/if otherErr == nil \{/if otherErr == nil \&\& false {/' ./internal/feed TestReadersThatAreNotThere
+  's/if otherErr == nil \{/if otherErr == nil \&\& false {/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
 mutant "nobody reads for readers that are cut off" internal/feed/picker.go \
-  's/mostReaders  = 16/mostReaders  = 4/' ./internal/feed TestReadersThatAreNotThere
+  's/maxReaders   = 16/maxReaders   = 4/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
 mutant "a silent source is waited for" internal/feed/picker.go \
-  's/askedPatience   = 600/askedPatience = 60000/; s/connectPatience = 200/connectPatience = 60000/' ./internal/feed TestReadersThatAreNotThere
+  's/hedgeDelay        = 600/hedgeDelay = 60000/; s/connectHedgeDelay = 200/connectHedgeDelay = 60000/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
 mutant "what came since an old list is left out" internal/feed/fleet.go \
-  's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestSourceOutOfTouchStillHelps
+  's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestDisconnectedSourceIsUsed
 mutant "a list is given only while its proof is young" internal/fleet/recent.go \
-  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.VerifiedAt) < time.Second {/' ./internal/feed TestSourceOutOfTouchStillHelps
+  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestDisconnectedSourceIsUsed
 mutant "duties fall to the first by ID" internal/cluster/topology.go \
   's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
 mutant "the first by ID are followed" internal/cluster/topology.go \
@@ -350,7 +350,7 @@
 mutant "a page that fails ends the list" platform/store.go \
   's/pageTries = 4/pageTries = 1/' ./platform TestPageThatFailsIsAskedForAgain
 mutant "a leader waits as long as it pauses" internal/feed/fleet.go \
-  's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestProofIsYoungAtEachMoment
+  's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestVerificationIsRecentUnderHeartbeatTiming
 mutant "the least known load is taken" internal/gateway/choose.go \
   's/&& !b\.fresh\(now, q\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestCrowdAtManyNodes
 mutant "arrivals elsewhere are not expected" internal/gateway/divide.go \
@@ -380,39 +380,39 @@
 mutant "idle connections have no bound" internal/daemon/daemon.go \
   's/MaxIdleConns:        mostIdle,//' ./internal/daemon TestIdleConnectionsAreBounded
 mutant "heads are filled beyond their room" internal/spread/spread.go \
-  's/return min\(max\(level-h\.left\(\), 0\), h\.room\(\)\)/return max(level-h.left(), 0)/' ./internal/spread TestSharesKeepToTheRoom
+  's/return min\(max\(level-h\.remaining\(\), 0\), h\.headroom\(\)\)/return max(level-h.remaining(), 0)/' ./internal/spread TestSharesKeepToTheHeadroom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
-  's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
+  's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/' ./internal/gateway TestLimitThatAnUpstreamNamesIsKept
 mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
   's/if !domainReachable \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
-  's/if wanted >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersKeepToALimitInSum
+  's/if count >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a foreign node uses the whole limit" internal/backpressure/sharing.go \
-  's/if !s\.Foreign \{\n\t\twanted/if true {\n\t\twanted/' ./internal/backpressure TestHoldersKeepToALimitInSum
+  's/if !s\.Remote \{\n\t\tcount/if true {\n\t\tcount/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a new holder does not wait" internal/backpressure/limit.go \
-  's/now\.Add\(handover\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
+  's/now\.Add\(handoverDelay\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
 mutant "backpressure: an older answer ends a limit" internal/backpressure/table.go \
-  's/ \|\| !sent\.After\(c\.limit\.at\)//' ./internal/backpressure TestAnswerOfBeforeDoesNotEndALimit
+  's/ \|\| !sent\.After\(c\.limit\.reportedAt\)//' ./internal/backpressure TestEarlierResponseDoesNotClearLimit
 mutant "backpressure: a limit is lost with its target" internal/gateway/condition.go \
   's/b\.conditions\.Sweep\(/b.conditions = backpressure.NewTable()\n\tb.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
 mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
   's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestLimitIsKeptByNodesThatAreToldOfIt
 mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
-  's/\t\tb\.conditions\.Unsent\(lifeOf\(to\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
+  's/\t\tb\.conditions\.UndoSent\(lifeOf\(to\.vm\)\)\n//' ./internal/gateway TestPlaceThatIsNotPaidForTakesNothingOfALimit
 mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
-  's/hold := b\.hold\(now, t, kept\); hold\.Back/hold := b.hold(now, t, kept); hold.Back \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
+  's/hold := b\.hold\(now, t, kept\); hold\.Throttled/hold := b.hold(now, t, kept); hold.Throttled \&\& len(tried) == 0/' ./internal/gateway TestNoPlaceIsKeptAtALimitedHead
 mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
-  's/needed := 1 \+ min\(reserve, mostReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
+  's/needed := 1 \+ min\(reserve, maxReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
 mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
-  's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestWordOnAFormerLifeChangesNothing
+  's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestRecordOfPreviousIncarnationIsIgnored
 mutant "backpressure: a word on a VM that is gone goes round for ever" internal/backpressure/table.go \
-  's/!listed \|\| //' ./internal/backpressure TestWordOnAVMThatIsGoneEndsAtAllNodes
+  's/!listed \|\| //' ./internal/backpressure TestRecordOfRemovedVMExpiresAtAllNodes
 mutant "backpressure: a rest is not kept" internal/backpressure/rest.go \
-  's/if now\.Before\(r\.until\) \{/if false {/' ./internal/gateway TestUpstreamThatAsksForRestIsLeftAlone
+  's/if now\.Before\(b\.until\) \{/if false {/' ./internal/gateway TestUpstreamThatAsksForRestIsLeftAlone
 mutant "backpressure: all come at once after a rest" internal/backpressure/rest.go \
-  's/if r\.onTrial \{/if false {/' ./internal/backpressure TestAfterARestOneRequestGoesFirst
+  's/if b\.probing \{/if false {/' ./internal/backpressure TestSingleProbeAfterBackoff
 mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
-  's/min\(n\.Rest, LongestRest\)/n.Rest/' ./internal/backpressure TestRestOfYearsIsBounded
+  's/min\(n\.Backoff, MaxBackoff\)/n.Backoff/' ./internal/backpressure TestBackoffIsBounded
 mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
   's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//' ./internal/gateway TestLeavingUpstreamIsLeftByNodesThatAreTold
 mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
@@ -420,7 +420,7 @@
 mutant "backpressure: what reports say is not heard" platform/engine.go \
   's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
 mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
-  's/, RestFilter\{\}//' ./internal/routing TestRestingUpstreamIsNotChosen
+  's/, BackoffFilter\{\}//' ./internal/routing TestBackingOffUpstreamIsNotChosen
 mutant "an entry that is written late counts as the newest word" internal/director/watch.go \
   's/ \|\| v\.isEntryOutdated\(vm\.Membership\)//' ./internal/director TestEntryOfAFormerGroupFreesNoVM
 mutant "a group is known by its members' entries alone" internal/director/groups.go \
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -56,7 +56,7 @@
 mutant "changes hold in time" internal/catalog/keeper.go 's/next\.version <= old\.version\)/next.version <= old.version+1)/'
 mutant "changes never revert" internal/catalog/keeper.go 's/c\.current\.Store\(next\)/c.current.Store(next)\n\ttime.AfterFunc(1500*time.Millisecond, func() { c.current.Store(old) })/'
 mutant "revoked keys end" internal/gateway/handle.go 's/team, ok := current\.Team\(c\.Key\)\n\tif !ok/team, ok := current.Team("key-7")\n\tif !ok/'
-mutant "budget for repeats" internal/retry/budget.go 's/if use\.Earned\+use\.Fixed < 1-rounding/if false/'
+mutant "budget for repeats" internal/retry/budget.go 's/if decision\.Earned\+decision\.Fixed < 1-roundingTolerance/if false/'
 mutant "work for callers that left" 'internal/gateway/handle.go internal/gateway/stream.go' 's/s\.parts\.Tracer\.Extract\(r\.Context\(\), r\.Header\)/context.WithoutCancel(s.parts.Tracer.Extract(r.Context(), r.Header))/; s/return errors\.CombineErrors\(errCallerGone, err\)/_ = err/g'
 mutant "refusals come at once" internal/gateway/attempt.go 's/return j\.refused\(why, rivals\)/time.Sleep(1500 * time.Millisecond)\n\t\treturn j.refused(why, rivals)/'
 mutant "answers by the deadline" internal/gateway/handle.go 's/context\.WithTimeout\(ctx, clock\.Until\(c\.Deadline\)\)/context.WithTimeout(ctx, clock.Until(c.Deadline)+20*time.Second)/'
@@ -64,8 +64,8 @@
 mutant "a stop cuts nothing" internal/daemon/daemon.go 's/if s == syscall\.SIGINT/if true/'
 mutant "a held-up node blames nobody" internal/gateway/heldup.go 's/if first \|\| elapsed <= usualLate/if first || elapsed >= 0/' "--planned --engines 12 --callers 40"
 mutant "crashing requests end" internal/gateway/suspects.go 's/case j\.c\.judged\.Quarantined > 0:/case false:/; s/one\.cancel\(errQuarantined\)/_ = one/'
-mutant "limits of upstreams" internal/backpressure/table.go 's/if !c\.limit\.named \{\n\t\treturn Hold\{\}/if true {\n\t\treturn Hold{}/'
-mutant "rests of upstreams" internal/backpressure/rest.go 's/if now\.Before\(r\.until\) \{/if false {/'
+mutant "limits of upstreams" internal/backpressure/table.go 's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/'
+mutant "rests of upstreams" internal/backpressure/rest.go 's/if now\.Before\(b\.until\) \{/if false {/'
 mutant "upstreams that say they leave" 'internal/gateway/condition.go internal/fleet/directory.go' 's/ \|\| b\.conditions\.Leaving\(lifeOf\(t\.vm\)\)//; s/\td\.leaving\.mark\(vms\)\n//'
 wait
 for i in $(seq "$number"); do cat "$work/result-$i"; done
