--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,4 +1,4 @@
-// Package callers serves HTTP on tracked connections: it knows the phase of each, limits the
+// Package callers serves HTTP on tracked connections: it records the phase of each, limits the
 // phase's duration, and decides when a stopping server may close the connection.
 //
 // The Shutdown of net/http drops a request that a connection has just read, and closes connections
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -103,8 +103,8 @@
 	PerSequence time.Duration
 	// ReadPerSecond is how many prompt tokens are read in a second.
 	ReadPerSecond float64
-	// Chunk is the maximum number of prompt tokens that one step reads; 0 while unknown.
-	Chunk int
+	// MaxReadPerStep is the maximum number of prompt tokens that one step reads; 0 while unknown.
+	MaxReadPerStep int
 	// StepsPerPass is the number of token steps in one pass.
 	StepsPerPass int
 	// LoadsAtOnce is how many loads from the weight store run at full speed.
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -286,7 +286,7 @@
 		StepTime:       e.StepTime,
 		PerSequence:    e.PerSequence,
 		ReadPerSecond:  e.ReadPerSecond,
-		MaxReadPerStep: e.Chunk,
+		MaxReadPerStep: e.MaxReadPerStep,
 		MeanPrompt:     e.MeanPrompt,
 		MeanAnswer:     e.MeanAnswer,
 		Pace:           m.Pace,
