--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -61,7 +61,7 @@
 
 // Keep implements Filter.
 func (EligibilityFilter) Keep(r Request, c Candidate) bool {
-	return r.Now.Before(c.Until) && !r.Attempted[c.ID]
+	return r.Now.Before(c.EligibleUntil) && !r.Attempted[c.ID]
 }
 
 // BackoffFilter keeps upstreams that have not asked this entry to back off.
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -54,11 +54,11 @@
 mutant "an older version is adopted" internal/item/item.go \
   's/if ok && old\.item\.Version >= it\.Version \{/if false {/' ./internal/item TestNeverReverts
 mutant "a deleted row stays in force" internal/view/view.go \
-  's/known\.row != nil && !known\.row\.Deleted/known.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
+  's/cached\.row != nil && !cached\.row\.Deleted/cached.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
 mutant "an edit on an old version is accepted" internal/control/apply.go \
   's/if e\.message\.GetForce\(\) \|\| base == version/if true || base == version/' ./test/integration TestLostRaceShowsBothValues
 mutant "a lost answer of a write counts as a failure" internal/control/apply.go \
-  's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.resolveEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
+  's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.confirmEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
 mutant "a fresh node is ready with a peer's table though the platform answers" internal/control/exchange.go \
   's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeThatMeetsOnlyAStalePeer
 mutant "a non-idempotent request goes out on a reused connection" internal/relay/sender.go \
@@ -82,9 +82,9 @@
 mutant "a caller's request ID names the attempt" internal/entry/dispatch.go \
   's/attempt := newRequestID\(\)/attempt := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
 mutant "a leaving VM gets work" internal/view/view.go \
-  's/ && !seen\.Leaving && !s\.Leaving\[seen\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
+  's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not held while the platform is down" internal/control/drain.go \
-  's/\tk\.holdDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
+  's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
 mutant "a stop does not wait for answers in flight" internal/entry/server.go \
   's/case <-done:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
 mutant "a stop does not wait for outcomes to be stored" internal/entry/server.go \
