--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -97,16 +97,16 @@
 // catalogSource makes a platformClient a catalog.Source.
 type catalogSource struct{ *platformClient }
 
-func (s catalogSource) Current(context.Context) (catalog.Watched, error) {
+func (s catalogSource) Current(context.Context) (catalog.WatchResult, error) {
 	requestedAt := time.Now()
 	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down.Load() {
-		return catalog.Watched{}, platform.ErrUnavailable
+		return catalog.WatchResult{}, platform.ErrUnavailable
 	}
 	c, err := decodeVersion(strconv.AppendUint(nil, s.version, 10))
-	return catalog.Watched{Catalog: c, Revision: s.version, ProvenAt: requestedAt}, err
+	return catalog.WatchResult{Catalog: c, Revision: s.version, VerifiedAt: requestedAt}, err
 }
 
 // decodeVersion parses a document that consists of the version only.
@@ -118,11 +118,11 @@
 	return catalog.New(catalog.Content{Version: version, Document: document})
 }
 
-func (s catalogSource) Changed(ctx context.Context, _ uint64, _ time.Duration) (catalog.Watched, error) {
+func (s catalogSource) Changed(ctx context.Context, _ uint64, _ time.Duration) (catalog.WatchResult, error) {
 	requestedAt := time.Now()
 	time.Sleep(5 * time.Millisecond)
 	w, err := s.Current(ctx)
-	w.ProvenAt = requestedAt
+	w.VerifiedAt = requestedAt
 	return w, err
 }
 
@@ -140,7 +140,7 @@
 // node is a leader or a follower.
 type node struct {
 	directory *fleet.Directory
-	cache     *catalog.Keeper
+	cache     *catalog.Cache
 	platform  *platformClient
 }
 
@@ -158,7 +158,7 @@
 	n := &node{platform: l}
 	fleetSource, catalogSource := source(l)
 	n.directory = fleet.NewDirectory(fleetSource, log, time.Second, func() time.Duration { return time.Millisecond })
-	n.cache = catalog.NewKeeper(catalogSource(func() uint64 { return n.cache.Version() }), log, time.Second)
+	n.cache = catalog.NewCache(catalogSource(func() uint64 { return n.cache.Version() }), log, time.Second)
 	for _, s := range []service{n.directory, n.cache} {
 		if err := s.Start(context.Background()); err != nil {
 			t.Fatal(err)
@@ -268,14 +268,14 @@
 	if calls := follower.platform.calls.Load() - before; calls != 0 {
 		t.Errorf("the follower made %d calls itself", calls)
 	}
-	waitFor(t, "a recent verification", func() bool { return follower.cache.ProvenAge(time.Now()) < catalogQuery.wait })
+	waitFor(t, "a recent verification", func() bool { return follower.cache.VerifiedAge(time.Now()) < catalogQuery.wait })
 	leader.platform.down.Store(true)
 	stopped := time.Now()
-	waitFor(t, "an old verification", func() bool { return follower.cache.ProvenAge(time.Now()) > time.Second })
+	waitFor(t, "an old verification", func() bool { return follower.cache.VerifiedAge(time.Now()) > time.Second })
 	if time.Since(stopped) < 900*time.Millisecond {
 		t.Error("the follower's verification is older than the leader's last read")
 	}
-	if age := follower.cache.ProvenAge(time.Now()); age > time.Since(stopped)+time.Second {
+	if age := follower.cache.VerifiedAge(time.Now()); age > time.Since(stopped)+time.Second {
 		t.Errorf("verified %s ago, %s after the platform became unreachable", age, time.Since(stopped))
 	}
 }
@@ -298,7 +298,7 @@
 	leader.platform.down.Store(true)
 	follower.platform.put(fleet.VM{ID: "own"})
 	waitFor(t, "its own read", func() bool { return follower.hasVM("own") })
-	waitFor(t, "a recent verification", func() bool { return follower.cache.ProvenAge(time.Now()) < catalogQuery.wait })
+	waitFor(t, "a recent verification", func() bool { return follower.cache.VerifiedAge(time.Now()) < catalogQuery.wait })
 }
 
 // TestFewNodesReadForThemselves: there is no leader with few nodes, at a director, and at the first
--- a/internal/feed/firstread_test.go
+++ b/internal/feed/firstread_test.go
@@ -86,20 +86,20 @@
 type slowLinkCatalog struct{ *slowLink }
 
 // Current implements catalog.Source.
-func (n slowLinkCatalog) Current(context.Context) (catalog.Watched, error) {
+func (n slowLinkCatalog) Current(context.Context) (catalog.WatchResult, error) {
 	n.documents.Add(1)
 	requestedAt := time.Now()
 	if err := n.transfer(); err != nil {
-		return catalog.Watched{}, err
+		return catalog.WatchResult{}, err
 	}
 	c, err := decodeVersion([]byte("1"))
-	return catalog.Watched{Catalog: c, Revision: 1, ProvenAt: requestedAt}, err
+	return catalog.WatchResult{Catalog: c, Revision: 1, VerifiedAt: requestedAt}, err
 }
 
 // Changed implements catalog.Source; nothing changes.
-func (n slowLinkCatalog) Changed(ctx context.Context, revision uint64, _ time.Duration) (catalog.Watched, error) {
+func (n slowLinkCatalog) Changed(ctx context.Context, revision uint64, _ time.Duration) (catalog.WatchResult, error) {
 	w, err := n.Watch(ctx, revision, 0)
-	return catalog.Watched{Revision: w.Revision, ProvenAt: w.VerifiedAt}, err
+	return catalog.WatchResult{Revision: w.Revision, VerifiedAt: w.VerifiedAt}, err
 }
 
 // startingNodes is a failure domain whose nodes all start at the same moment: no node has received a
@@ -127,7 +127,7 @@
 	for i, self := range domain.records {
 		leader := NewLeader(self, domain, func() bool { return false }, testLog(t), http.DefaultClient, func(address string) string { return "http://" + address })
 		n := &node{directory: fleet.NewDirectory(NewFleet(link, leader), testLog(t), time.Second, func() time.Duration { return time.Millisecond })}
-		n.cache = catalog.NewKeeper(NewCatalog(slowLinkCatalog{link}, leader, func() uint64 { return n.cache.Version() }, decodeVersion), testLog(t), time.Second)
+		n.cache = catalog.NewCache(NewCatalog(slowLinkCatalog{link}, leader, func() uint64 { return n.cache.Version() }, decodeVersion), testLog(t), time.Second)
 		servers[i].Handle(marbleroadv1connect.NewClusterServiceHandler(handler{&Server{Directory: n.directory, Cache: n.cache}}))
 		nodes = append(nodes, n)
 	}
--- a/internal/feed/server.go
+++ b/internal/feed/server.go
@@ -20,7 +20,7 @@
 // Server responds to followers from what this node has read.
 type Server struct {
 	Directory *fleet.Directory
-	Cache     *catalog.Keeper
+	Cache     *catalog.Cache
 
 	packer packer
 }
@@ -56,7 +56,7 @@
 	arrived := clock.Now()
 	state := s.Cache.Await(ctx, r.Msg.GetVersion(), min(milliseconds(r.Msg.GetWaitMs()), maxFollowWait))
 	out := &marbleroadv1.FollowCatalogResponse{Version: state.Version, Revision: state.Revision,
-		ProvenAfterMs: verifiedAfterMS(arrived, clock.Now().Add(-state.ProvenAge))}
+		ProvenAfterMs: verifiedAfterMS(arrived, clock.Now().Add(-state.VerifiedAge))}
 	if state.Version <= r.Msg.GetVersion() {
 		return connect.NewResponse(out), nil
 	}
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -290,13 +290,13 @@
 func batchEngine(e *catalog.Engine, m catalog.Model) batch.Engine {
 	return batch.Engine{
 		Slots:          e.Slots,
-		StepsPerPass:   e.Stride,
+		StepsPerPass:   e.StepsPerPass,
 		StepTime:       e.StepTime,
 		PerSequence:    e.PerSequence,
 		ReadPerSecond:  e.ReadPerSecond,
-		MaxReadPerStep: e.Chunk,
-		MeanPrompt:     e.UsualPrompt,
-		MeanAnswer:     e.UsualAnswer,
+		MaxReadPerStep: e.MaxReadPerStep,
+		MeanPrompt:     e.MeanPrompt,
+		MeanAnswer:     e.MeanAnswer,
 		Pace:           m.Pace,
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -95,9 +95,9 @@
 type UpstreamDialect interface {
 	// Header returns the header for an attempt.
 	Header(c *Call, a Attempt) http.Header
-	// Mark and Judge implement relay.Dialect.
-	Mark(h http.Header, requestID string)
-	Judge(resp *http.Response, requestID string) error
+	// SetRequestID and CheckResponse implement relay.Dialect.
+	SetRequestID(h http.Header, requestID string)
+	CheckResponse(resp *http.Response, requestID string) error
 	// Condition reads the signals about the condition of the upstream from a response. The error names the
 	// parts that can't be read; the result holds all others.
 	Condition(status int, h http.Header) (backpressure.Signals, error)
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -11,12 +11,12 @@
 // reads as a further request. Where this can't be decided, the connection is closed with the response, so
 // that nothing hidden behind the request is read.
 func checkFraming(w http.ResponseWriter, r *http.Request) *verdict.Error {
-	seen, known := callers.TakeHead(r)
-	if !known || len(r.TransferEncoding) == 0 || seen == callers.HeadPlain {
+	seen, known := callers.TakeLengthHeader(r)
+	if !known || len(r.TransferEncoding) == 0 || seen == callers.LengthHeaderAbsent {
 		return nil
 	}
 	w.Header().Set("Connection", "close")
-	if seen == callers.HeadUnseen {
+	if seen == callers.LengthHeaderUnknown {
 		return nil
 	}
 	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusBadRequest, Code: codeBadBody, Detail: "the request has a Content-Length and a chunked body"}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -62,7 +62,7 @@
 mutant "a fresh node is ready with a peer's table though the platform answers" internal/control/exchange.go \
   's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeThatMeetsOnlyAStalePeer
 mutant "a non-idempotent request goes out on a reused connection" internal/relay/sender.go \
-  's/transport = s\.single/_ = s.single/' ./internal/relay TestNoReplayOnReusedConnection
+  's/transport = s\.singleUse/_ = s.singleUse/' ./internal/relay TestNoReplayOnReusedConnection
 mutant "what reached the upstream counts as not run" internal/relay/sender.go \
   's/v = verdict\.MayHaveRun\n/_ = v\n/' ./internal/relay TestVerdicts
 mutant "another request's answer is passed on" internal/relay/sender.go \
@@ -122,7 +122,7 @@
 mutant "a leader's watch waits for long" internal/feed/feed.go \
   's/return min\(maxWait, leaderWait\)/return maxWait/' ./internal/feed TestLeaderVerificationStaysRecent
 mutant "a first configuration is asked for again and again" internal/catalog/keeper.go \
-  's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWaitedFor
+  's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWatched
 mutant "followers press a store that is away" internal/feed/feed.go \
   's/if now\.Before\(p\.backoffUntil\) && /if false \&\& /' ./internal/feed TestFollowersBackOffFromUnreachableStore
 mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
@@ -176,9 +176,9 @@
 mutant "a stop closes connections without a request at once" internal/callers/listener.go \
   's/return l\.linger, true/return 0, true/' ./internal/gateway 'TestRequestsReadDuringStopAreAnswered|TestStreamFromBeforeStopKeepsConnection'
 mutant "a limit does not look whether a request came" internal/callers/conn.go \
-  's/if c\.changes != change \|\| c\.headWhole\(\)/if false/; s/if c\.expired \{\n\t\treturn false/if false {\n\t\treturn false/' ./internal/callers TestLimitSparesARequestThatWasRead
+  's/if c\.timerGeneration != generation \|\| c\.headerComplete\(\)/if false/; s/if c\.closedByLimit \{\n\t\treturn false/if false {\n\t\treturn false/' ./internal/callers TestLimitKeepsConnectionWithReadRequest
 mutant "a limit does not wait for the reader" internal/callers/conn.go \
-  's/if waiting, _ := c\.peek\(\); waiting/if false/' ./internal/callers TestLimitSparesARequestThatWaits
+  's/if unread, _ := c\.peek\(\); unread/if false/' ./internal/callers TestLimitKeepsConnectionWithUnreadRequest
 mutant "an answer in a stop does not say so" internal/gateway/handle.go \
   's/w\.Header\(\)\.Set\("Connection", "close"\)/_ = w/' ./internal/gateway TestRequestsReadDuringStopAreAnswered
 mutant "a request that a stop would cut is begun" internal/gateway/stopping.go \
@@ -186,7 +186,7 @@
 mutant "keys are honoured without a proof" internal/gateway/handle.go \
   's/s\.config\.RevokeBound > 0 && c\.CatalogAge > s\.config\.RevokeBound/false/' ./internal/gateway TestKeysNeedVerifiedCatalog
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
-  's/c\.version <= old\.version/c.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverFalls
+  's/next\.version <= old\.version/next.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverDecreases
 mutant "the configuration is watched from its last change" platform/configuration.go \
   's/out\.Catalog, err = DecodeConfiguration\(o\.Spec\)/out.Revision = o.Metadata.Rev\n\t\t\t$&/' ./platform TestWatchAfterCompaction
 mutant "the key is passed on" platform/upstream.go \
@@ -234,7 +234,7 @@
 mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
   's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
 mutant "net/http sends requests again" internal/relay/sender.go \
-  's/\tneverReplayed\(req\)\n/\tif o.Once {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestNoRequestIsSentTwiceUnseen
+  's/\tpreventReplay\(req\)\n/\tif o.AtMostOnce {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestEachSendArrivesAtMostOnce
 mutant "a stale connection is a failure" internal/relay/sender.go \
   's/return w\.reused \&\& /return false \&\& /' ./internal/relay TestStaleConnectionIsReplaced
 mutant "missing entries are kept from the first answer on" internal/fleet/outage.go \
@@ -271,7 +271,7 @@
 mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
   's/if callers\.ClosedByCaller\(j\.r\)/if false \&\& callers.ClosedByCaller(j.r)/' ./internal/gateway TestCallersThatLeftWhileNodeWasStalled
 mutant "a request that is given up is delivered later" internal/relay/sender.go \
-  's/c\.unanswered\.Store\(true\)//' ./internal/relay TestGivenUpRequestIsTakenBack
+  's/c\.unanswered\.Store\(true\)//' ./internal/relay TestAbandonedRequestResetsConnection
 mutant "overload is told as nothing that serves" internal/gateway/choose.go \
   's/case sel\.full:/case false:/' ./internal/gateway TestFullHeadsBesideASuspectedOneAreOverload
 mutant "sampled heads are of any failure domain" internal/gateway/choose.go \
