--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -1,6 +1,6 @@
-// Package inspect is what operators see of one node of marbleroad-node: the
-// configuration in force, the upstream VMs, the groups and the other nodes, each with
-// the age of what is known. It never holds keys.
+// Package inspect serves the state of one marbleroad-node to operators: the
+// configuration in force, the upstream VMs, the groups and the other nodes, with the age
+// of each part. It never exposes keys.
 package inspect
 
 import (
@@ -16,37 +16,38 @@
 	"github.com/marbleroad/marbleroad/internal/quarantine"
 )
 
-// Path is where a node's admin listener serves its View.
+// Path is the path at which a node's admin listener serves its View.
 const Path = "/view"
 
-// View is one node's view at one moment.
+// View is the state that one node holds at one moment.
 type View struct {
 	Node          string        `json:"node"`
 	FailureDomain string        `json:"failure_domain"`
 	Ready         bool          `json:"ready"`
 	NotReady      string        `json:"not_ready,omitempty"`
 	Configuration Configuration `json:"configuration"`
-	// ListAge is how long ago the list of VMs was last proven, ListRevision the
-	// platform's revision that it reflects.
+	// ListAge is the time since the list of VMs was last known to be current.
+	// ListRevision is the platform's revision that the list reflects.
 	ListAge      time.Duration `json:"list_age_ns"`
 	ListRevision uint64        `json:"list_revision"`
-	// Directing are the failure domains whose groups the node manages.
+	// Directing lists the failure domains whose groups the node manages.
 	Directing []string `json:"directing"`
 	Nodes     []Node   `json:"nodes"`
 	Groups    []Group  `json:"groups"`
 	Upstreams []VM     `json:"upstreams"`
-	// Suspects are the requests under which upstream VMs ended, those in quarantine first.
+	// Suspects lists the requests during which upstream VMs terminated, those in quarantine first.
 	Suspects []Suspect `json:"suspects"`
 }
 
-// Suspect is a request under which upstream VMs ended since it was last answered.
+// Suspect is a request during which upstream VMs terminated since it was last served.
 type Suspect struct {
-	// Fingerprint is as in the logs (5008, 5012).
+	// Fingerprint identifies the request as in the log events 5008 and 5012.
 	Fingerprint string `json:"fingerprint"`
 	Ends        int    `json:"ends"`
-	// LastEnd is how long ago the newest of them ended.
+	// LastEnd is the time since the latest termination.
 	LastEnd time.Duration `json:"last_end_ns"`
-	// Quarantined is true when it is refused; Left is how long that, or the suspicion, goes on.
+	// Quarantined reports whether the request is refused. Left is the time until the
+	// quarantine, or else the suspicion, expires.
 	Quarantined bool          `json:"quarantined"`
 	Left        time.Duration `json:"left_ns"`
 }
@@ -54,7 +55,7 @@
 // Configuration is the operators' configuration in force.
 type Configuration struct {
 	Version uint64 `json:"version"`
-	// ProvenAge is how long ago it was last known to be the newest.
+	// ProvenAge is the time since it was last known to be the newest.
 	ProvenAge time.Duration `json:"proven_age_ns"`
 	Routes    []Route       `json:"routes"`
 	Services  []string      `json:"services"`
@@ -72,7 +73,7 @@
 	Services []string      `json:"services"`
 }
 
-// Node is another node that was heard lately.
+// Node is another live node.
 type Node struct {
 	ID            string        `json:"id"`
 	FailureDomain string        `json:"failure_domain"`
@@ -81,20 +82,21 @@
 	Stopping      bool          `json:"stopping"`
 }
 
-// Group is a group as its VMs report it.
+// Group is a group of VMs, as its VMs report it.
 type Group struct {
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
 	Service    string `json:"service"`
 	Model      string `json:"model"`
-	// Size is how many VMs the model takes.
+	// Size is the number of VMs that the model needs.
 	Size    int      `json:"size"`
 	Members []string `json:"members"`
-	// State is the head's.
+	// State is the state that the head reports.
 	State string `json:"state"`
-	// Running is how many requests all nodes have there, as far as known.
+	// Running is the number of requests that all nodes have in flight at the group, as far
+	// as this node knows.
 	Running int `json:"running"`
-	// Shunned says why this node sends no requests there; empty when it does.
+	// Shunned is the reason why this node sends the group no requests; empty if it does.
 	Shunned string `json:"shunned,omitempty"`
 }
 
@@ -110,11 +112,11 @@
 	Rank          int      `json:"rank"`
 	State         string   `json:"state"`
 	Staged        []string `json:"staged"`
-	// Condition is what the VM said of its own condition; empty when nothing ails it.
+	// Condition is the condition that the VM reports; empty if the VM is healthy.
 	Condition string `json:"condition,omitempty"`
 }
 
-// Sources are where a view comes from.
+// Sources holds the components that a View is built from.
 type Sources struct {
 	Node          string
 	FailureDomain string
@@ -123,15 +125,16 @@
 	Directory     *fleet.Directory
 	Cluster       *cluster.Cluster
 	Directing     func() []string
-	// Load tells the requests at a head and why none are sent there.
+	// Load returns the requests running at a group's head and the reason why this node
+	// sends none there, if so.
 	Load func(vm, group string) (running int, shunned string)
-	// Condition tells what a VM said of its own condition.
+	// Condition returns the condition that a VM reports.
 	Condition func(vm *fleet.VM) string
-	// Suspects knows the requests under which upstreams ended.
+	// Suspects records the requests during which upstreams terminated.
 	Suspects *quarantine.Table
 }
 
-// Handler serves the view as JSON.
+// Handler returns a handler that serves the View as JSON.
 func Handler(s Sources) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -141,6 +144,7 @@
 	})
 }
 
+// view builds the View at the given time.
 func (s Sources) view(now time.Time) View {
 	v := View{Node: s.Node, FailureDomain: s.FailureDomain, Directing: s.Directing()}
 	v.Ready, v.NotReady = s.Ready()
@@ -165,6 +169,7 @@
 	return v
 }
 
+// configuration returns the configuration in the form of the View.
 func configuration(c *catalog.Catalog) Configuration {
 	out := Configuration{Version: c.Version(), Teams: c.Teams()}
 	for name := range c.Services() {
@@ -193,27 +198,27 @@
 
 func (s Sources) groups(list *fleet.Snapshot, current *catalog.Catalog) []Group {
 	out := make([]Group, 0, len(list.Groups))
-	for name, g := range list.Groups {
-		one := Group{Name: name, Generation: g.Generation, Service: g.Service, Model: g.Model, State: "head not listed"}
-		for _, vm := range g.Members {
+	for name, reported := range list.Groups {
+		group := Group{Name: name, Generation: reported.Generation, Service: reported.Service, Model: reported.Model, State: "head not listed"}
+		for _, vm := range reported.Members {
 			if vm != nil {
-				one.Members = append(one.Members, vm.ID)
+				group.Members = append(group.Members, vm.ID)
 			}
 		}
-		if head := g.Head(); head != nil {
-			one.State = head.State.String()
-			one.Running, one.Shunned = s.Load(head.ID, name)
+		if head := reported.Head(); head != nil {
+			group.State = head.State.String()
+			group.Running, group.Shunned = s.Load(head.ID, name)
 		}
-		one.Size = size(current, g)
-		out = append(out, one)
+		group.Size = modelSize(current, reported)
+		out = append(out, group)
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
 	return out
 }
 
-// size is how many VMs the group's model takes; zero when the configuration does not
-// have it.
-func size(current *catalog.Catalog, g *fleet.Group) int {
+// modelSize returns the number of VMs that the group's model needs, or zero if the
+// configuration does not have the model.
+func modelSize(current *catalog.Catalog, g *fleet.Group) int {
 	if current == nil {
 		return 0
 	}
--- a/internal/inspect/release.go
+++ b/internal/inspect/release.go
@@ -7,14 +7,15 @@
 	"github.com/marbleroad/marbleroad/internal/quarantine"
 )
 
-// ReleasePath is where a node's admin listener lets a request out of quarantine, named by the query's
-// FingerprintParameter.
+// ReleasePath is the path at which a node's admin listener releases a request from quarantine. The query's
+// FingerprintParameter names the request.
 const (
 	ReleasePath          = "/quarantine/release"
 	FingerprintParameter = "fingerprint"
 )
 
-// Release lets requests out of quarantine, at all nodes as they hear of it.
+// Release returns a handler that releases a request from quarantine here and, as the nodes exchange
+// their records, at all nodes.
 func Release(suspects *quarantine.Table) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f, err := quarantine.ParseFingerprint(r.URL.Query().Get(FingerprintParameter))
@@ -24,7 +25,7 @@
 		}
 		now := clock.Now()
 		if v := suspects.Judge(now, f); v.Ends == 0 {
-			http.Error(w, "nothing is held against this request here", http.StatusNotFound)
+			http.Error(w, "no termination is on record here for this request", http.StatusNotFound)
 			return
 		}
 		suspects.Served(now, f)
