--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -13,17 +13,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key describes one key of the INI file.
+// Key describes a key of the INI file.
 type Key struct {
 	Section string
 	Name    string
-	// Default is the text taken when the key is missing.
+	// Default is the value used when the key is missing.
 	Default string
-	// Allowed says which values and which unit.
+	// Allowed describes the allowed values and their unit.
 	Allowed string
-	// Doc says the effect.
+	// Doc describes the effect.
 	Doc string
-	// Required names the daemons that need a value; empty for none.
+	// Required lists the daemons that need a value.
 	Required []Program
 
 	set func(*Settings, string) error
@@ -39,7 +39,7 @@
 }
 
 var (
-	all         = []Program{EntryProgram, ControlProgram, NodeProgram}
+	allPrograms = []Program{EntryProgram, ControlProgram, NodeProgram}
 	nodeOnly    = []Program{NodeProgram}
 	entryOnly   = []Program{EntryProgram}
 	controlOnly = []Program{ControlProgram}
@@ -54,129 +54,131 @@
 
 // Keys lists every key, in the order of docs/CONFIGURATION.md.
 var Keys = []Key{
-	{"node", "id", "", allowedName, "Name of this entry VM, unique over all sites.", all,
-		func(s *Settings, t string) error { return name(t, &s.Node.ID) }},
-	{"node", "failure_domain", "", allowedName, "Failure domain that this VM is in.", all,
-		func(s *Settings, t string) error { return name(t, &s.Node.FailureDomain) }},
-	{"node", "processor", "0", "a number, 0 or more", "Part of a processor core that marbleroad-node may use; 0 for not said. The strongest nodes manage groups, read the platform for others and sum up their states.", nil,
-		func(s *Settings, t string) error { return amount(t, &s.Node.Processor) }},
-
-	{"platform", "url", "", "an http URL with an IP number, such as http://10.0.0.1:9000", "Where the platform's Object API and membership list are.", all,
-		func(s *Settings, t string) error { return httpURL(t, &s.Platform.URL) }},
-	{"platform", "timeout", "2s", allowedDuration, "Bound on a write to the platform, on the beginning of any other answer without a watch's waiting time, and on each pause within an answer.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Platform.Timeout) }},
-	{"platform", "watch_wait", "20s", allowedDuration, "How long one watch waits for changes; longer means fewer calls.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Platform.WatchWait) }},
-
-	{"entry", "listen", "", allowedAddress, "Where callers are served.", entryOnly,
-		func(s *Settings, t string) error { return address(t, &s.Entry.Listen) }},
-	{"entry", "admin", "", allowedAddress, "Where health, metrics and, if set, profiles of the entry are served.", entryOnly,
-		func(s *Settings, t string) error { return address(t, &s.Entry.Admin) }},
-	{"entry", "peer", "", allowedAddress, "Where control daemons ask the entry to explain requests, and other failure domains' entries send what they cannot serve.", entryOnly,
-		func(s *Settings, t string) error { return address(t, &s.Entry.Peer) }},
+	{"node", "id", "", allowedName, "Name of this VM, unique over all failure domains.", allPrograms,
+		func(s *Settings, t string) error { return parseName(t, &s.Node.ID) }},
+	{"node", "failure_domain", "", allowedName, "Failure domain that this VM is in.", allPrograms,
+		func(s *Settings, t string) error { return parseName(t, &s.Node.FailureDomain) }},
+	{"node", "processor", "0", "a number, 0 or more", "Processor cores, or the fraction of one, that marbleroad-node may use; 0 if it is not specified. The nodes with the most manage groups, read the platform for others and aggregate their states.", nil,
+		func(s *Settings, t string) error { return parseAmount(t, &s.Node.Processor) }},
+
+	{"platform", "url", "", "an http URL with an IP number, such as http://10.0.0.1:9000", "Where the platform's Object API and membership list are.", allPrograms,
+		func(s *Settings, t string) error { return parseHTTPURL(t, &s.Platform.URL) }},
+	{"platform", "timeout", "2s", allowedDuration, "Timeout of a write to the platform; of the start of any other response, besides the time that a watch waits; and of each pause within a response.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Platform.Timeout) }},
+	{"platform", "watch_wait", "20s", allowedDuration, "How long one watch waits for changes; a longer time means fewer calls.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Platform.WatchWait) }},
+
+	{"entry", "listen", "", allowedAddress, "Address at which callers are served.", entryOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Entry.Listen) }},
+	{"entry", "admin", "", allowedAddress, "Address at which health, metrics and, if enabled, profiles of the entry are served.", entryOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Entry.Admin) }},
+	{"entry", "peer", "", allowedAddress, "Address at which control daemons query the entry about requests, and entries of other failure domains send requests that they cannot serve.", entryOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Entry.Peer) }},
 	{"entry", "advertise", "", allowedAddress, "Address under which others reach entry.peer; empty is entry.peer itself.", nil,
-		func(s *Settings, t string) error { return address(t, &s.Entry.Advertise) }},
-	{"entry", "control", "", "addresses of control daemons, separated by commas", "Control daemons of this failure domain, the one on this VM first; the next is read when one does not answer.", entryOnly,
-		func(s *Settings, t string) error { return addresses(t, &s.Entry.Control) }},
-	{"entry", "view_interval", "250ms", allowedDuration, "Time between two readings of a control daemon's view.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Entry.ViewInterval) }},
-	{"entry", "balancer_delay", "3s", allowedDuration, "After a stop signal, how long new requests are still served while the balancer learns of it.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Entry.BalancerDelay) }},
-	{"entry", "shutdown_limit", "10m", allowedDuration, "How long a stop waits for answers in flight; then streams end with an error event.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Entry.ShutdownLimit) }},
-	{"entry", "linger", "500ms", allowedDuration, "How long a stop then keeps a caller's connection without a request, counted from its last answer: the caller may not know of the stop.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Entry.Linger) }},
-	{"entry", "body_timeout", "30s", allowedDuration, "Bound on reading a request's body; a slower caller is refused with 408.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Entry.BodyTimeout) }},
-	{"entry", "max_body", "1048576", "bytes, 1 to 67108864", "Largest request body; larger ones are refused with 413.", nil,
-		func(s *Settings, t string) error { return byteCount(t, &s.Entry.MaxBody) }},
-
-	{"control", "listen", "", allowedAddress, "Where entries, peers and operators reach the control daemon.", controlOnly,
-		func(s *Settings, t string) error { return address(t, &s.Control.Listen) }},
+		func(s *Settings, t string) error { return parseAddress(t, &s.Entry.Advertise) }},
+	{"entry", "control", "", "addresses of control daemons, separated by commas", "Control daemons of this failure domain, the one on this VM first; if one does not respond, the next is read.", entryOnly,
+		func(s *Settings, t string) error { return parseAddresses(t, &s.Entry.Control) }},
+	{"entry", "view_interval", "250ms", allowedDuration, "Interval at which the entry reads a control daemon's view.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.ViewInterval) }},
+	{"entry", "balancer_delay", "3s", allowedDuration, "After a stop signal, how long new requests are still served until the balancer stops sending them.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.BalancerDelay) }},
+	{"entry", "shutdown_limit", "10m", allowedDuration, "How long a stop waits for requests in flight; streams that are still open then end with an error event.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.ShutdownLimit) }},
+	{"entry", "linger", "500ms", allowedDuration, "How long a stop then keeps an idle connection of a caller open, counted from its last response, since the caller may not know of the stop yet.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.Linger) }},
+	{"entry", "body_timeout", "30s", allowedDuration, "Timeout for reading a request's body; a slower caller is rejected with 408.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.BodyTimeout) }},
+	{"entry", "max_body", "1048576", "bytes, 1 to 67108864", "Maximum size of a request's body; a larger one is rejected with 413.", nil,
+		func(s *Settings, t string) error { return parseByteCount(t, &s.Entry.MaxBody) }},
+
+	{"control", "listen", "", allowedAddress, "Address at which entries, peers and operators reach the control daemon.", controlOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Control.Listen) }},
 	{"control", "advertise", "", allowedAddress, "Address under which others reach control.listen; empty is control.listen itself.", nil,
-		func(s *Settings, t string) error { return address(t, &s.Control.Advertise) }},
-	{"control", "admin", "", allowedAddress, "Where health, metrics and, if set, profiles of the control daemon are served.", controlOnly,
-		func(s *Settings, t string) error { return address(t, &s.Control.Admin) }},
-	{"control", "seeds", "", "addresses of control daemons, separated by commas", "Peers to begin with, needed when the platform is away at the start.", nil,
-		func(s *Settings, t string) error { return addresses(t, &s.Control.Seeds) }},
-	{"control", "operator_token_sha256", "", "a SHA-256 in 64 hex digits", "Hash of the operators' token. Without it operators are refused.", nil,
-		func(s *Settings, t string) error { return sha256Hex(t, &s.Control.OperatorTokenSHA256) }},
-	{"control", "probe_interval", "500ms", allowedDuration, "Time between two probes of a VM by one control daemon.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Control.ProbeInterval) }},
-	{"control", "probe_timeout", "400ms", allowedDuration, "Bound on one probe.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Control.ProbeTimeout) }},
-	{"control", "exchange_interval", "500ms", allowedDuration, "Time between two readings of each peer in the failure domain; stretched when there are many peers.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Control.ExchangeInterval) }},
-	{"control", "members_interval", "1s", allowedDuration, "Time between two readings of the membership list.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Control.MembersInterval) }},
-
-	{"control", "max_loading", "16", "a whole number from 1 to 1000", "VMs of one fabric domain that load weights at once; the weight store is rate-limited.", nil,
-		func(s *Settings, t string) error { return count(t, &s.Control.MaxLoading) }},
-
-	{"gateway", "listen", "", allowedAddress, "Where callers are served by the routes of the platform's configuration.", nodeOnly,
-		func(s *Settings, t string) error { return address(t, &s.Gateway.Listen) }},
-	{"gateway", "ready", "", allowedAddress, "Where the balancer asks whether this VM takes callers.", nodeOnly,
-		func(s *Settings, t string) error { return address(t, &s.Gateway.Ready) }},
-	{"gateway", "admin", "", allowedAddress, "Where health, metrics and, if set, profiles are served.", nodeOnly,
-		func(s *Settings, t string) error { return address(t, &s.Gateway.Admin) }},
-	{"gateway", "balancer_delay", "2500ms", allowedDuration, "How long callers are still taken after readiness is withdrawn; the balancer notices after two failed questions, a second apart.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Gateway.BalancerDelay) }},
-	{"gateway", "linger", "500ms", allowedDuration, "How long a stop then keeps a caller's connection without a request, counted from its last answer: the caller may not know of the stop.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Gateway.Linger) }},
+		func(s *Settings, t string) error { return parseAddress(t, &s.Control.Advertise) }},
+	{"control", "admin", "", allowedAddress, "Address at which health, metrics and, if enabled, profiles of the control daemon are served.", controlOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Control.Admin) }},
+	{"control", "seeds", "", "addresses of control daemons, separated by commas", "Initial peers; needed if the platform is unreachable at the start.", nil,
+		func(s *Settings, t string) error { return parseAddresses(t, &s.Control.Seeds) }},
+	{"control", "operator_token_sha256", "", "a SHA-256 in 64 hex digits", "Hash of the operators' token. Without it, operators are rejected.", nil,
+		func(s *Settings, t string) error { return parseSHA256(t, &s.Control.OperatorTokenSHA256) }},
+	{"control", "probe_interval", "500ms", allowedDuration, "Interval at which one control daemon probes a VM.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Control.ProbeInterval) }},
+	{"control", "probe_timeout", "400ms", allowedDuration, "Timeout of one probe.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Control.ProbeTimeout) }},
+	{"control", "exchange_interval", "500ms", allowedDuration, "Interval at which each peer in the failure domain is read; longer if there are many peers.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Control.ExchangeInterval) }},
+	{"control", "members_interval", "1s", allowedDuration, "Interval at which the membership list is read.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Control.MembersInterval) }},
+
+	{"control", "max_loading", "16", "a whole number from 1 to 1000", "Maximum number of VMs of one fabric domain that load weights at once; the weight store is rate-limited.", nil,
+		func(s *Settings, t string) error { return parseCount(t, &s.Control.MaxLoading) }},
+
+	{"gateway", "listen", "", allowedAddress, "Address at which callers are served, by the routes of the platform's configuration.", nodeOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Gateway.Listen) }},
+	{"gateway", "ready", "", allowedAddress, "Address at which the balancer checks the readiness of this VM.", nodeOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Gateway.Ready) }},
+	{"gateway", "admin", "", allowedAddress, "Address at which health, metrics and, if enabled, profiles are served.", nodeOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Gateway.Admin) }},
+	{"gateway", "balancer_delay", "2500ms", allowedDuration, "How long callers are still accepted after readiness is withdrawn; the balancer reacts after two failed checks, a second apart.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.BalancerDelay) }},
+	{"gateway", "linger", "500ms", allowedDuration, "How long a stop then keeps an idle connection of a caller open, counted from its last response, since the caller may not know of the stop yet.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.Linger) }},
 	{"gateway", "stop_grace", "8s", allowedDuration, "Time from the stop signal until the platform kills the process.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Gateway.StopGrace) }},
-	{"gateway", "revoke_bound", "0s", "a duration, or 0s for none", "Time within which a revoked key must no longer be honoured anywhere. Keys are refused while it is not proven that the configuration is that new.", nil,
-		func(s *Settings, t string) error { return durationOrZero(t, &s.Gateway.RevokeBound) }},
-	{"gateway", "repeat_ratio", "0.1", "a number from 0 to 1", "Repeated sends that each request to a service allows, over all nodes.", nil,
-		func(s *Settings, t string) error { return fraction(t, &s.Gateway.RepeatRatio) }},
-	{"gateway", "repeat_extra", "20", "a number, 0 or more", "Repeated sends that a window allows beside that for each service, over all nodes.", nil,
-		func(s *Settings, t string) error { return amount(t, &s.Gateway.RepeatExtra) }},
-	{"gateway", "repeat_window", "10s", allowedDuration, "Length of the sliding window of that budget.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Gateway.RepeatWindow) }},
-	{"gateway", "heartbeat", "1200ms", allowedDuration, "How often an upstream VM renews its entry in the platform's list.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Gateway.Heartbeat) }},
-	{"gateway", "stall_bound", "5s", allowedDuration, "Time after which the head of a group that lost a member counts itself as broken.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Gateway.StallBound) }},
-
-	{"cluster", "listen", "", allowedAddress, "Where the other nodes reach this one.", nodeOnly,
-		func(s *Settings, t string) error { return address(t, &s.Cluster.Listen) }},
+		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.StopGrace) }},
+	{"gateway", "revoke_bound", "0s", "a duration, or 0s for none", "Time within which a revoked key must be rejected everywhere. Keys are rejected while the configuration is not verified to be that recent.", nil,
+		func(s *Settings, t string) error { return parseDurationOrZero(t, &s.Gateway.RevokeBound) }},
+	{"gateway", "repeat_ratio", "0.1", "a number from 0 to 1", "Retries that each request to a service adds to its retry budget, over all nodes.", nil,
+		func(s *Settings, t string) error { return parseFraction(t, &s.Gateway.RepeatRatio) }},
+	{"gateway", "repeat_extra", "20", "a number, 0 or more", "Retries per window that the budget of each service allows in addition, over all nodes.", nil,
+		func(s *Settings, t string) error { return parseAmount(t, &s.Gateway.RepeatExtra) }},
+	{"gateway", "repeat_window", "10s", allowedDuration, "Length of the sliding window of the retry budget.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.RepeatWindow) }},
+	{"gateway", "heartbeat", "1200ms", allowedDuration, "Interval at which an upstream VM renews its entry in the platform's list.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.Heartbeat) }},
+	{"gateway", "stall_bound", "5s", allowedDuration, "Time after which the head of a group that lost a member reports itself as broken.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.StallBound) }},
+
+	{"cluster", "listen", "", allowedAddress, "Address at which the other nodes reach this one.", nodeOnly,
+		func(s *Settings, t string) error { return parseAddress(t, &s.Cluster.Listen) }},
 	{"cluster", "advertise", "", allowedAddress, "Address under which the other nodes reach cluster.listen; empty is cluster.listen itself.", nil,
-		func(s *Settings, t string) error { return address(t, &s.Cluster.Advertise) }},
-	{"cluster", "interval", "300ms", allowedDuration, "Time between two exchanges with each other node.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Cluster.Interval) }},
-
-	{"presence", "window", "3s", allowedDuration, "How long a VM counts as present after a probe was sent; the same on all VMs of a failure domain.", nil,
-		func(s *Settings, t string) error { return duration(t, &s.Presence.Window) }},
-
-	{"tls", "caller_cert", "", allowedFile, "Certificate of the callers' listener; empty serves plain HTTP.", nil,
-		func(s *Settings, t string) error { return file(t, &s.TLS.CallerCert) }},
-	{"tls", "caller_key", "", allowedFile, "Key of caller_cert.", nil,
-		func(s *Settings, t string) error { return file(t, &s.TLS.CallerKey) }},
-	{"tls", "peer_cert", "", allowedFile, "This VM's certificate towards our own processes; empty uses plain HTTP/2 between them.", nil,
-		func(s *Settings, t string) error { return file(t, &s.TLS.PeerCert) }},
-	{"tls", "peer_key", "", allowedFile, "Key of peer_cert.", nil,
-		func(s *Settings, t string) error { return file(t, &s.TLS.PeerKey) }},
-	{"tls", "peer_ca", "", allowedFile, "Authority that our own processes' certificates must come from.", nil,
-		func(s *Settings, t string) error { return file(t, &s.TLS.PeerCA) }},
-
-	{"log", "level", "info", "debug, info, warn or error", "Least level of events that are written, as JSON lines to standard output.", nil,
-		func(s *Settings, t string) error { return choice(t, &s.Log.Level, "debug", "info", "warn", "error") }},
-
-	{"log", "rate", "0", "a whole number from 0 to 1000", "Lines a second that each event may have in marbleroad-node; 0 for no bound. What is left out is counted.", nil,
-		func(s *Settings, t string) error { return countOrZero(t, &s.Log.Rate) }},
-
-	{"trace", "target", "none", "none, file:PATH or an http URL with an IP number", "Where spans go: nowhere, to a file as JSON lines, or to an OTLP/HTTP receiver.", nil,
-		func(s *Settings, t string) error { return traceTarget(t, &s.Trace.Target) }},
-	{"trace", "sample", "1", "a number from 0 to 1", "Part of the traces begun here that are kept; a caller's own decision is followed.", nil,
-		func(s *Settings, t string) error { return fraction(t, &s.Trace.Sample) }},
+		func(s *Settings, t string) error { return parseAddress(t, &s.Cluster.Advertise) }},
+	{"cluster", "interval", "300ms", allowedDuration, "Interval at which this node exchanges state with each other node.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Cluster.Interval) }},
+
+	{"presence", "window", "3s", allowedDuration, "How long a VM counts as present after a probe was sent; must be the same on all VMs of a failure domain.", nil,
+		func(s *Settings, t string) error { return parseDuration(t, &s.Presence.Window) }},
+
+	{"tls", "caller_cert", "", allowedFile, "Certificate of the listener for callers; if empty, it serves plain HTTP.", nil,
+		func(s *Settings, t string) error { return parseFile(t, &s.TLS.CallerCert) }},
+	{"tls", "caller_key", "", allowedFile, "Private key of caller_cert.", nil,
+		func(s *Settings, t string) error { return parseFile(t, &s.TLS.CallerKey) }},
+	{"tls", "peer_cert", "", allowedFile, "This VM's certificate for connections between marbleroad processes; if empty, they use plain HTTP/2.", nil,
+		func(s *Settings, t string) error { return parseFile(t, &s.TLS.PeerCert) }},
+	{"tls", "peer_key", "", allowedFile, "Private key of peer_cert.", nil,
+		func(s *Settings, t string) error { return parseFile(t, &s.TLS.PeerKey) }},
+	{"tls", "peer_ca", "", allowedFile, "CA that must have signed the certificates of marbleroad processes.", nil,
+		func(s *Settings, t string) error { return parseFile(t, &s.TLS.PeerCA) }},
+
+	{"log", "level", "info", "debug, info, warn or error", "Minimum level of the events that are written, as JSON lines, to standard output.", nil,
+		func(s *Settings, t string) error {
+			return parseChoice(t, &s.Log.Level, "debug", "info", "warn", "error")
+		}},
+
+	{"log", "rate", "0", "a whole number from 0 to 1000", "Maximum number of lines per second of each event in marbleroad-node, 0 for no limit. Warnings and errors are not limited. Skipped lines are counted.", nil,
+		func(s *Settings, t string) error { return parseCountOrZero(t, &s.Log.Rate) }},
+
+	{"trace", "target", "none", "none, file:PATH or an http URL with an IP number", "Where spans are exported: nowhere, to a file as JSON lines, or to an OTLP/HTTP receiver.", nil,
+		func(s *Settings, t string) error { return parseTraceTarget(t, &s.Trace.Target) }},
+	{"trace", "sample", "1", "a number from 0 to 1", "Fraction of the traces started here that is kept; for a trace of the caller, the caller's sampling decision applies.", nil,
+		func(s *Settings, t string) error { return parseFraction(t, &s.Trace.Sample) }},
 
 	{"debug", "pprof", "no", "yes or no", "Serve profiles on the admin listeners.", nil,
-		func(s *Settings, t string) error { return yesNo(t, &s.Debug.Pprof) }},
+		func(s *Settings, t string) error { return parseYesNo(t, &s.Debug.Pprof) }},
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-func name(text string, into *string) error {
+func parseName(text string, into *string) error {
 	if !namePattern.MatchString(text) {
 		return errors.New("not a name")
 	}
@@ -184,7 +186,8 @@
 	return nil
 }
 
-func address(text string, into *string) error {
+// parseAddress accepts an IP address and port, and no host name.
+func parseAddress(text string, into *string) error {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return errors.New("not an IP number and port (host names are not looked up)")
@@ -196,10 +199,10 @@
 	return nil
 }
 
-func addresses(text string, into *[]string) error {
+func parseAddresses(text string, into *[]string) error {
 	for _, part := range strings.Split(text, ",") {
 		var one string
-		if err := address(strings.TrimSpace(part), &one); err != nil {
+		if err := parseAddress(strings.TrimSpace(part), &one); err != nil {
 			return err
 		}
 		*into = append(*into, one)
@@ -207,7 +210,7 @@
 	return nil
 }
 
-func httpURL(text string, into *string) error {
+func parseHTTPURL(text string, into *string) error {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
 		return errors.New("not an http URL")
@@ -219,15 +222,15 @@
 	return nil
 }
 
-func traceTarget(text string, into *string) error {
+func parseTraceTarget(text string, into *string) error {
 	if text == "none" || (strings.HasPrefix(text, "file:") && len(text) > len("file:")) {
 		*into = text
 		return nil
 	}
-	return httpURL(text, into)
+	return parseHTTPURL(text, into)
 }
 
-func duration(text string, into *time.Duration) error {
+func parseDuration(text string, into *time.Duration) error {
 	v, err := time.ParseDuration(text)
 	if err != nil {
 		return errors.New("not a duration with a unit")
@@ -239,7 +242,7 @@
 	return nil
 }
 
-func durationOrZero(text string, into *time.Duration) error {
+func parseDurationOrZero(text string, into *time.Duration) error {
 	v, err := time.ParseDuration(text)
 	if err != nil {
 		return errors.New("not a duration with a unit")
@@ -251,7 +254,7 @@
 	return nil
 }
 
-func amount(text string, into *float64) error {
+func parseAmount(text string, into *float64) error {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0) || math.IsInf(v, 1) {
 		return errors.New("not a number in range")
@@ -260,35 +263,35 @@
 	return nil
 }
 
-func countOrZero(text string, into *int) error {
+func parseCountOrZero(text string, into *int) error {
 	if text == "0" {
 		*into = 0
 		return nil
 	}
-	return count(text, into)
+	return parseCount(text, into)
 }
 
-func byteCount(text string, into *int64) error {
-	const most = 64 << 20
+func parseByteCount(text string, into *int64) error {
+	const maxBytes = 64 << 20
 	v, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || v < 1 || v > most {
+	if err != nil || v < 1 || v > maxBytes {
 		return errors.New("not a count in range")
 	}
 	*into = v
 	return nil
 }
 
-func count(text string, into *int) error {
-	const most = 1000
+func parseCount(text string, into *int) error {
+	const maxCount = 1000
 	v, err := strconv.Atoi(text)
-	if err != nil || v < 1 || v > most {
+	if err != nil || v < 1 || v > maxCount {
 		return errors.New("not a count in range")
 	}
 	*into = v
 	return nil
 }
 
-func fraction(text string, into *float64) error {
+func parseFraction(text string, into *float64) error {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v <= 1) {
 		return errors.New("not a number in range")
@@ -297,7 +300,7 @@
 	return nil
 }
 
-func choice(text string, into *string, allowed ...string) error {
+func parseChoice(text string, into *string, allowed ...string) error {
 	for _, a := range allowed {
 		if text == a {
 			*into = text
@@ -307,21 +310,21 @@
 	return errors.New("not one of the allowed words")
 }
 
-func yesNo(text string, into *bool) error {
+func parseYesNo(text string, into *bool) error {
 	var word string
-	if err := choice(text, &word, "yes", "no"); err != nil {
+	if err := parseChoice(text, &word, "yes", "no"); err != nil {
 		return err
 	}
 	*into = word == "yes"
 	return nil
 }
 
-func file(text string, into *string) error {
+func parseFile(text string, into *string) error {
 	*into = text
 	return nil
 }
 
-func sha256Hex(text string, into *string) error {
+func parseSHA256(text string, into *string) error {
 	const size = 32
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != size {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks the daemons' INI file. Every key is
-// described once, in the list of this package; docs/CONFIGURATION.md is made
-// from it.
+// Package settings reads and validates the daemons' INI file. Keys describes every
+// key; docs/CONFIGURATION.md is generated from it.
 package settings
 
 import (
@@ -10,21 +9,21 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrInvalid marks every fault of a settings file.
+// ErrInvalid marks every validation error of a settings file.
 var ErrInvalid = errors.New("invalid settings")
 
-// Node says what this VM is.
+// Node holds the identity of this VM.
 type Node struct {
 	ID            string
 	FailureDomain string
-	// Processor is the part of a processor core that the node may use; 0 for not said.
+	// Processor is the number of processor cores, or the fraction of one, that the node may use; 0 if it is not specified.
 	Processor float64
 }
 
-// Platform says how the platform is reached.
+// Platform holds the settings for calls to the platform.
 type Platform struct {
 	URL string
-	// Timeout bounds one call.
+	// Timeout is the timeout of one call.
 	Timeout time.Duration
 	// WatchWait is how long one watch waits for changes.
 	WatchWait time.Duration
@@ -35,21 +34,21 @@
 	Listen string
 	Admin  string
 	Peer   string
-	// Advertise is the peer address that others are told; Peer when empty.
+	// Advertise is the address under which others reach Peer; Peer itself when empty.
 	Advertise string
 	Control   []string
-	// ViewInterval is the time between two readings of the control process's view.
+	// ViewInterval is the interval at which the entry reads the control process's view.
 	ViewInterval time.Duration
-	// BalancerDelay is how long the balancer may still send work after
+	// BalancerDelay is how long the balancer may still send requests after
 	// readiness is withdrawn.
 	BalancerDelay time.Duration
-	// ShutdownLimit bounds the wait for work in flight.
+	// ShutdownLimit is how long a stop waits for requests in flight.
 	ShutdownLimit time.Duration
-	// Linger is how long a stop then keeps connections without a request.
+	// Linger is how long a stop then keeps idle connections open.
 	Linger time.Duration
-	// BodyTimeout bounds the reading of a request's body.
+	// BodyTimeout is the timeout for reading a request's body.
 	BodyTimeout time.Duration
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int64
 }
 
@@ -57,7 +56,7 @@
 type Control struct {
 	Listen string
 	Admin  string
-	// Advertise is the address that others are told; Listen when empty.
+	// Advertise is the address under which others reach Listen; Listen itself when empty.
 	Advertise string
 	Seeds     []string
 	// OperatorTokenSHA256 is the hex SHA-256 of the operators' bearer token.
@@ -66,53 +65,52 @@
 	ProbeTimeout        time.Duration
 	ExchangeInterval    time.Duration
 	MembersInterval     time.Duration
-	// MaxLoading is how many VMs of a fabric domain load at once.
+	// MaxLoading is the maximum number of VMs of a fabric domain that load weights at once.
 	MaxLoading int
 }
 
-// Gateway holds the settings of marbleroad-node towards callers and upstreams.
+// Gateway holds the settings of marbleroad-node for callers and upstreams.
 type Gateway struct {
 	Listen string
-	// Ready is where the balancer asks whether this VM takes callers.
+	// Ready is the address at which the balancer checks the readiness of this VM.
 	Ready string
 	Admin string
-	// BalancerDelay is how long the balancer may still send work after
+	// BalancerDelay is how long the balancer may still send requests after
 	// readiness is withdrawn.
 	BalancerDelay time.Duration
-	// Linger is how long a stop then keeps connections without a request.
+	// Linger is how long a stop then keeps idle connections open.
 	Linger time.Duration
-	// StopGrace is the time from the stop signal until the platform kills.
+	// StopGrace is the time from the stop signal until the platform kills the process.
 	StopGrace time.Duration
-	// RevokeBound is within which a revoked key must no longer be honoured; zero
-	// honours keys without a proof that the configuration is the newest.
+	// RevokeBound is the time within which a revoked key must be rejected everywhere. At
+	// zero, keys are accepted even if the configuration is not verified to be the newest.
 	RevokeBound time.Duration
-	// RepeatRatio, RepeatExtra and RepeatWindow are the budget for repeated
-	// sends over all nodes.
+	// RepeatRatio, RepeatExtra and RepeatWindow are the retry budget over all nodes.
 	RepeatRatio  float64
 	RepeatExtra  float64
 	RepeatWindow time.Duration
 	// Heartbeat is how often an upstream VM renews its entry in the list.
 	Heartbeat time.Duration
-	// StallBound is how long a group's head may go on without a member before
-	// it counts itself as broken.
+	// StallBound is how long a group's head may run without a member before it
+	// reports itself as broken.
 	StallBound time.Duration
 }
 
-// Cluster holds the settings between the nodes.
+// Cluster holds the settings of the exchange between nodes.
 type Cluster struct {
 	Listen string
-	// Advertise is the address that other nodes are told; Listen when empty.
+	// Advertise is the address under which other nodes reach Listen; Listen itself when empty.
 	Advertise string
 	Interval  time.Duration
 }
 
-// Presence holds what entries and control processes must agree on.
+// Presence holds settings that must be the same on entries and control processes.
 type Presence struct {
 	// Window is how long a VM counts as present after a probe was sent.
 	Window time.Duration
 }
 
-// TLS names the files of keys and certificates; empty means plain TCP.
+// TLS holds the paths of key and certificate files; empty paths mean plain TCP.
 type TLS struct {
 	CallerCert string
 	CallerKey  string
@@ -124,7 +122,7 @@
 // Log holds the logging settings.
 type Log struct {
 	Level string
-	// Rate is how many lines a second an event may have; 0 for no bound.
+	// Rate is the maximum number of lines per second of one event; 0 for no limit.
 	Rate int
 }
 
@@ -132,7 +130,7 @@
 type Trace struct {
 	// Target is none, file:PATH or the base URL of an OTLP/HTTP receiver.
 	Target string
-	// Sample is the part of traces kept, 0 to 1.
+	// Sample is the fraction of new traces that is kept, 0 to 1.
 	Sample float64
 }
 
@@ -141,7 +139,7 @@
 	Pprof bool
 }
 
-// Settings is one checked file.
+// Settings holds the validated settings of one file.
 type Settings struct {
 	Node     Node
 	Platform Platform
@@ -156,19 +154,19 @@
 	Debug    Debug
 }
 
-// Program names a daemon; some keys are required only for one of them.
+// Program is the name of a daemon. Some keys are required only for some daemons.
 type Program string
 
 // The daemons.
 const (
 	EntryProgram   Program = "marbleroad-entry"
 	ControlProgram Program = "marbleroad-control"
-	// NodeProgram is the gateway and the director in one process.
+	// NodeProgram runs the gateway and the director in one process.
 	NodeProgram Program = "marbleroad-node"
 )
 
-// Load reads the file at path and checks it for the program. The error lists
-// all faults, each with file, section, key and what is allowed.
+// Load reads the file at path and validates it for the program. The error lists all
+// validation errors, each with the file, the section, the key and what is allowed.
 func Load(path string, program Program) (*Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{
 		AllowShadows:            false,
@@ -181,48 +179,51 @@
 	return r.read()
 }
 
+// reader reads one file into Settings and collects its validation errors.
 type reader struct {
 	path    string
 	file    *ini.File
 	program Program
-	faults  error
+	errs    error
 }
 
 func (r *reader) read() (*Settings, error) {
-	r.refuseUnknown()
+	r.rejectUnknownKeys()
 	var s Settings
 	for _, k := range Keys {
-		r.set(&s, k)
+		r.setKey(&s, k)
 	}
-	if r.faults == nil {
-		r.checkTogether(&s)
+	if r.errs == nil {
+		r.checkConsistency(&s)
 	}
-	if r.faults != nil {
-		return nil, errors.Mark(r.faults, ErrInvalid)
+	if r.errs != nil {
+		return nil, errors.Mark(r.errs, ErrInvalid)
 	}
 	return &s, nil
 }
 
-func (r *reader) fault(section, key, format string, args ...any) {
+// report adds a validation error.
+func (r *reader) report(section, key, format string, args ...any) {
 	err := errors.Newf("%s: [%s] %s: "+format, append([]any{r.path, section, key}, args...)...)
-	if r.faults == nil {
-		r.faults = err
+	if r.errs == nil {
+		r.errs = err
 		return
 	}
-	r.faults = errors.Newf("%s\n%s", r.faults.Error(), err.Error())
+	r.errs = errors.Newf("%s\n%s", r.errs.Error(), err.Error())
 }
 
-func (r *reader) refuseUnknown() {
+// rejectUnknownKeys reports the keys of the file that are not in Keys.
+func (r *reader) rejectUnknownKeys() {
 	for _, section := range r.file.Sections() {
 		for _, key := range section.Keys() {
-			if !known(section.Name(), key.Name()) {
-				r.fault(section.Name(), key.Name(), "unknown key; docs/CONFIGURATION.md lists the keys")
+			if !isKnown(section.Name(), key.Name()) {
+				r.report(section.Name(), key.Name(), "unknown key; docs/CONFIGURATION.md lists the keys")
 			}
 		}
 	}
 }
 
-func known(section, name string) bool {
+func isKnown(section, name string) bool {
 	for _, k := range Keys {
 		if k.Section == section && k.Name == name {
 			return true
@@ -231,25 +232,28 @@
 	return false
 }
 
-func (r *reader) set(s *Settings, k Key) {
+// setKey sets the key from the file, or from its default if the file leaves it out.
+func (r *reader) setKey(s *Settings, k Key) {
 	text := k.Default
 	if r.file.Section(k.Section).HasKey(k.Name) {
 		text = r.file.Section(k.Section).Key(k.Name).String()
 	}
 	if text == "" && k.requiredFor(r.program) {
-		r.fault(k.Section, k.Name, "missing; allowed is %s", k.Allowed)
+		r.report(k.Section, k.Name, "missing; allowed is %s", k.Allowed)
 		return
 	}
 	if text == "" {
 		return
 	}
 	if err := k.set(s, text); err != nil {
-		r.fault(k.Section, k.Name, "%q: %v; allowed is %s", text, err, k.Allowed)
+		r.report(k.Section, k.Name, "%q: %v; allowed is %s", text, err, k.Allowed)
 	}
 }
 
-func (r *reader) checkTogether(s *Settings) {
-	r.checkPorts(s)
+// checkConsistency validates keys that depend on each other, and sets the addresses to
+// advertise that the file leaves out.
+func (r *reader) checkConsistency(s *Settings) {
+	r.checkListeners(s)
 	if s.Entry.Advertise == "" {
 		s.Entry.Advertise = s.Entry.Peer
 	}
@@ -260,25 +264,26 @@
 		s.Control.Advertise = s.Control.Listen
 	}
 	if s.Presence.Window < 2*(s.Control.ProbeInterval+s.Control.ExchangeInterval) {
-		r.fault("presence", "window", "%s is too short; allowed is at least twice control.probe_interval and control.exchange_interval together", s.Presence.Window)
+		r.report("presence", "window", "%s is too short; allowed is at least twice control.probe_interval and control.exchange_interval together", s.Presence.Window)
 	}
 	if (s.TLS.CallerCert == "") != (s.TLS.CallerKey == "") {
-		r.fault("tls", "caller_cert", "caller_cert and caller_key go together")
+		r.report("tls", "caller_cert", "caller_cert and caller_key go together")
 	}
-	set := 0
+	peerFiles := 0
 	for _, v := range []string{s.TLS.PeerCert, s.TLS.PeerKey, s.TLS.PeerCA} {
 		if v != "" {
-			set++
+			peerFiles++
 		}
 	}
-	if set != 0 && set != 3 {
-		r.fault("tls", "peer_cert", "peer_cert, peer_key and peer_ca go together")
+	if peerFiles != 0 && peerFiles != 3 {
+		r.report("tls", "peer_cert", "peer_cert, peer_key and peer_ca go together")
 	}
 }
 
-func (r *reader) checkPorts(s *Settings) {
-	type place struct{ section, key, address string }
-	places := []place{
+// checkListeners reports listeners that have the same address.
+func (r *reader) checkListeners(s *Settings) {
+	type listener struct{ section, key, address string }
+	listeners := []listener{
 		{"entry", "listen", s.Entry.Listen},
 		{"entry", "admin", s.Entry.Admin},
 		{"entry", "peer", s.Entry.Peer},
@@ -289,10 +294,10 @@
 		{"gateway", "admin", s.Gateway.Admin},
 		{"cluster", "listen", s.Cluster.Listen},
 	}
-	for i, a := range places {
-		for _, b := range places[:i] {
+	for i, a := range listeners {
+		for _, b := range listeners[:i] {
 			if a.address != "" && a.address == b.address {
-				r.fault(a.section, a.key, "%s is also [%s] %s; allowed is an address of its own", a.address, b.section, b.key)
+				r.report(a.section, a.key, "%s is also [%s] %s; allowed is an address of its own", a.address, b.section, b.key)
 			}
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,16 +11,16 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestConfigurationPage compares docs/CONFIGURATION.md with the keys. Run the
-// test with -update to write the page anew.
+// TestConfigurationPage compares docs/CONFIGURATION.md with Keys. Run the test with
+// -update to regenerate the page.
 func TestConfigurationPage(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`# Settings
 
 The daemons read one INI file, named on their command line. The file is
-checked as a whole; ` + "`check-config`" + ` does only that. An unknown key, a value
-outside what is allowed, a host name in place of an IP number or two listeners
-at one address are refused with file, section and key. This page is made from
+validated as a whole; ` + "`check-config`" + ` does only that. An unknown key, a value
+that is not allowed, a host name in place of an IP address, and two listeners at
+one address are reported with file, section and key. This page is generated from
 the code (` + "`go test ./internal/settings -update`" + `).
 
 `)
@@ -34,15 +34,15 @@
 		if value == "" {
 			value = "none"
 		}
-		need := ""
+		requirement := ""
 		switch len(k.Required) {
 		case 1:
-			need = " Needed by " + string(k.Required[0]) + "."
+			requirement = " Required by " + string(k.Required[0]) + "."
 		case 3:
-			need = " Needed by all."
+			requirement = " Required by all daemons."
 		}
-		_, _ = fmt.Fprintf(&b, "| %s | %s | %s | %s%s |\n", k.Name, value, k.Allowed, k.Doc, need)
-		if last(k) {
+		_, _ = fmt.Fprintf(&b, "| %s | %s | %s | %s%s |\n", k.Name, value, k.Allowed, k.Doc, requirement)
+		if lastOfSection(k) {
 			b.WriteByte('\n')
 		}
 	}
@@ -50,7 +50,8 @@
 	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "CONFIGURATION", []byte(page))
 }
 
-func last(k Key) bool {
+// lastOfSection reports whether the key is the last one of its section.
+func lastOfSection(k Key) bool {
 	for i, other := range Keys {
 		if other.Section == k.Section && other.Name == k.Name {
 			return i == len(Keys)-1 || Keys[i+1].Section != k.Section
@@ -59,7 +60,7 @@
 	return false
 }
 
-const good = `[node]
+const validFile = `[node]
 id = obuda-1
 failure_domain = obuda
 [platform]
@@ -89,7 +90,7 @@
 
 func TestGoodSettings(t *testing.T) {
 	for _, p := range []Program{EntryProgram, ControlProgram} {
-		s, err := load(t, good, p)
+		s, err := load(t, validFile, p)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,21 +100,21 @@
 	}
 }
 
-// TestFaultsAreNamed keeps the messages for bad files.
+// TestFaultsAreNamed compares the error messages for invalid files with the golden file.
 func TestFaultsAreNamed(t *testing.T) {
 	cases := []struct{ name, text string }{
-		{"unknown key", good + "[log]\nlevle = info\n"},
-		{"unknown section", good + "[nodes]\nid = x\n"},
-		{"bad level", good + "[log]\nlevel = loud\n"},
-		{"no unit", good + "[presence]\nwindow = 3\n"},
-		{"window too short", good + "[presence]\nwindow = 1s\n"},
-		{"host name", strings.Replace(good, "10.0.0.1:8080", "entry.example:8080", 1)},
-		{"host name in URL", strings.Replace(good, "10.0.0.9:9000", "platform.example", 1)},
-		{"port clash", strings.Replace(good, "10.0.0.1:8081", "10.0.0.1:8080", 1)},
-		{"missing", strings.Replace(good, "id = obuda-1\n", "", 1)},
-		{"certificate without key", good + "[tls]\ncaller_cert = c.pem\n"},
-		{"half of mutual TLS", good + "[tls]\npeer_cert = c.pem\n"},
-		{"several at once", strings.Replace(good, "obuda-1", "Obuda 1", 1) + "[entry]\nmax_body = 0\n"},
+		{"unknown key", validFile + "[log]\nlevle = info\n"},
+		{"unknown section", validFile + "[nodes]\nid = x\n"},
+		{"bad level", validFile + "[log]\nlevel = loud\n"},
+		{"no unit", validFile + "[presence]\nwindow = 3\n"},
+		{"window too short", validFile + "[presence]\nwindow = 1s\n"},
+		{"host name", strings.Replace(validFile, "10.0.0.1:8080", "entry.example:8080", 1)},
+		{"host name in URL", strings.Replace(validFile, "10.0.0.9:9000", "platform.example", 1)},
+		{"port clash", strings.Replace(validFile, "10.0.0.1:8081", "10.0.0.1:8080", 1)},
+		{"missing", strings.Replace(validFile, "id = obuda-1\n", "", 1)},
+		{"certificate without key", validFile + "[tls]\ncaller_cert = c.pem\n"},
+		{"half of mutual TLS", validFile + "[tls]\npeer_cert = c.pem\n"},
+		{"several at once", strings.Replace(validFile, "obuda-1", "Obuda 1", 1) + "[entry]\nmax_body = 0\n"},
 		{"no INI", "what is this"},
 	}
 	var b strings.Builder
@@ -124,16 +125,16 @@
 	goldie.New(t).Assert(t, "faults", []byte(b.String()))
 }
 
-// FuzzLoad feeds any bytes as a settings file: it is refused or checked, never
-// a panic, and what is accepted has all that the daemon needs.
+// FuzzLoad loads arbitrary bytes as a settings file: Load must not panic, and a file that it
+// accepts has the settings that the daemon requires.
 func FuzzLoad(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("[node]\nid = \x00\n")
 	f.Add("[")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := load(t, text, ControlProgram)
 		if err == nil && (s.Node.ID == "" || s.Control.Listen == "") {
-			t.Fatal("accepted without what is needed")
+			t.Fatal("accepted without the required settings")
 		}
 	})
 }
