--- a/cmd/marbleroad-control/main.go
+++ b/cmd/marbleroad-control/main.go
@@ -1,4 +1,4 @@
-// Command marbleroad-control is the control daemon.
+// Command marbleroad-control runs the control daemon.
 package main
 
 import (
--- a/cmd/marbleroad-entry/main.go
+++ b/cmd/marbleroad-entry/main.go
@@ -1,4 +1,4 @@
-// Command marbleroad-entry is the entry daemon.
+// Command marbleroad-entry runs the entry daemon.
 package main
 
 import (
--- a/cmd/marbleroad-node/main.go
+++ b/cmd/marbleroad-node/main.go
@@ -1,4 +1,4 @@
-// Command marbleroad-node is the gateway and the director in one process.
+// Command marbleroad-node runs the gateway and the director in one process.
 package main
 
 import (
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin serves health, metrics and profiles of a daemon.
+// Package admin serves the health, the metrics and the profiles of a daemon over HTTP.
 package admin
 
 import (
@@ -13,35 +13,34 @@
 	"github.com/marbleroad/marbleroad/internal/kernel"
 )
 
-// ServiceName is the admin service's name in the kernel.
+// ServiceName is the name of the admin service in the kernel.
 const ServiceName = "admin"
 
 const readHeaderTimeout = 5 * time.Second
 
-// Reporter is the service that knows whether the daemon may get work, and if
-// not, why.
+// Reporter reports whether the daemon is ready for requests, and if not, the reason.
 type Reporter interface {
 	Ready() (ready bool, reason string)
 }
 
-// Server is the admin listener.
+// Server is the HTTP server of the admin listener.
 type Server struct {
-	address  string
-	mux      *http.ServeMux
-	http     *http.Server
-	subject  string
-	reporter Reporter
+	address          string
+	mux              *http.ServeMux
+	http             *http.Server
+	readinessService string
+	reporter         Reporter
 }
 
-// New returns an admin server for the address. subject names the service
-// whose readiness it reports.
-func New(address string, metrics http.Handler, subject string, profiles bool) *Server {
+// New returns an admin server for the address. readinessService names the kernel service
+// whose readiness it reports. Profiles are served only if profiles is true.
+func New(address string, metrics http.Handler, readinessService string, profiles bool) *Server {
 	mux := http.NewServeMux()
 	s := &Server{
-		address: address,
-		mux:     mux,
-		subject: subject,
-		http:    &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout},
+		address:          address,
+		mux:              mux,
+		readinessService: readinessService,
+		http:             &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout},
 	}
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
@@ -64,10 +63,10 @@
 	return s
 }
 
-// Serve adds what only some daemons show. It must be called before Start.
+// Serve adds a handler for GET requests to the path. It must be called before Start.
 func (s *Server) Serve(path string, h http.Handler) { s.mux.Handle("GET "+path, h) }
 
-// Take adds what operators may have only some daemons do. It must be called before Start.
+// Take adds a handler for POST requests to the path. It must be called before Start.
 func (s *Server) Take(path string, h http.Handler) { s.mux.Handle("POST "+path, h) }
 
 // Name implements kernel.Service.
@@ -75,7 +74,7 @@
 
 // Provision implements kernel.Provisioner.
 func (s *Server) Provision(k *kernel.Kernel) (err error) {
-	s.reporter, err = kernel.Lookup[Reporter](k, s.subject)
+	s.reporter, err = kernel.Lookup[Reporter](k, s.readinessService)
 	return err
 }
 
@@ -83,7 +82,7 @@
 func (s *Server) Start(context.Context) error {
 	listener, err := net.Listen("tcp", s.address)
 	if err != nil {
-		return errors.Wrap(err, "listen for admin")
+		return errors.Wrap(err, "listen on the admin address")
 	}
 	go func() { _ = s.http.Serve(listener) }()
 	return nil
@@ -91,5 +90,5 @@
 
 // Stop implements kernel.Service.
 func (s *Server) Stop(context.Context) error {
-	return errors.Wrap(s.http.Close(), "close admin")
+	return errors.Wrap(s.http.Close(), "close the admin listener")
 }
--- a/internal/jsonbody/jsonbody.go
+++ b/internal/jsonbody/jsonbody.go
@@ -1,4 +1,4 @@
-// Package jsonbody reads the JSON bodies of HTTP answers, within a bound.
+// Package jsonbody reads JSON bodies of HTTP responses up to a maximum size.
 package jsonbody
 
 import (
@@ -8,21 +8,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxBytes bounds one answer: a whole listing of the platform's store is a few
-// megabytes.
+// MaxBytes is the maximum size of a response: a full listing of the platform's store is
+// a few megabytes.
 const MaxBytes = 64 << 20
 
-// Decode reads a body to its end and decodes it.
+// Decode reads a body to its end, or up to MaxBytes, and decodes it.
 func Decode(body io.Reader, into any) error {
 	data, err := io.ReadAll(io.LimitReader(body, MaxBytes))
 	if err != nil {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
-	return errors.Wrap(json.Unmarshal(data, into), "decode answer")
+	return errors.Wrap(json.Unmarshal(data, into), "decode response")
 }
 
-// Drain reads what is left of a body and closes it, so that the connection can be
-// used again. A failure only costs the connection.
+// Drain reads the rest of a body and closes it, so that the connection can be reused.
+// After an error the connection is not reused, so errors are ignored.
 func Drain(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, MaxBytes))
 	_ = body.Close()
--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -1,54 +1,54 @@
 package metrics
 
-// Metric is one catalogue entry. Upper-case words in a name stand for what the
-// metric is kept by.
+// Metric is an entry of the catalogue. Upper-case words in a name are placeholders for
+// the values by which the metric is split.
 type Metric struct {
 	Name string
-	// Kind is counter, gauge or timer.
+	// Kind is "counter", "gauge" or "timer".
 	Kind string
 	Help string
 }
 
-// Catalogue lists the metrics of marbleroad-node; docs/METRICS.md is made from it.
+// Catalogue lists the metrics of marbleroad-node; docs/METRICS.md is generated from it.
 var Catalogue = []Metric{
 	{"requests", "counter", "Requests of callers that were read."},
-	{"requests.served", "counter", "Requests that were answered by an upstream, whole."},
-	{"failed.CODE", "counter", "Requests that ended with an answer of the node's own, by its code; see docs/OPERATIONS.md."},
-	{"request.whole.SERVICE.KIND", "timer", "From the arrival of a served request to its end."},
-	{"request.first.SERVICE.KIND", "timer", "From the arrival of a served request to its first event or its answer."},
-	{"request.pause.SERVICE", "timer", "Between two events of a stream."},
-	{"request.failed", "timer", "From the arrival to the node's own answer."},
-	{"attempts", "counter", "Sends of requests to upstreams."},
-	{"attempts.repeated", "counter", "Sends after the first of a request; they draw on the budget for repeats."},
-	{"repeats.SERVICE", "counter", "Sends after the first, by service."},
-	{"repeats.refused.SERVICE", "counter", "Sends that the budget for repeats did not allow, by service."},
-	{"attempts.resumed", "counter", "Sends that went on with a stream within its answer."},
-	{"attempts.failed.CODE", "counter", "Sends without a whole answer, by what was wrong."},
-	{"streams.lost", "counter", "Streams that fell silent while their head went on; they went on elsewhere."},
-	{"upstreams.ended", "counter", "Ends of VMs that were held against a request which they ran."},
-	{"upstreams.limits.heard", "counter", "Answers of upstream VMs that named a limit of requests a second."},
-	{"upstreams.rests.heard", "counter", "Answers of upstream VMs that turned a request away and asked for rest."},
-	{"upstreams.leaving.heard", "counter", "Answers of upstream VMs that said they were about to end."},
-	{"requests.held_back", "counter", "Calls that were refused because all upstream VMs that could serve them had asked for fewer requests."},
-	{"upstreams.conditions.unreadable", "counter", "Answers whose word on the upstream VM's condition could not be read."},
-	{"quarantine.requests", "counter", "Requests that were put in quarantine, by this node or another one."},
+	{"requests.served", "counter", "Requests to which an upstream gave a complete response."},
+	{"failed.CODE", "counter", "Requests that the node answered with an error, by error code; see docs/OPERATIONS.md."},
+	{"request.whole.SERVICE.KIND", "timer", "Time from the arrival of a served request to the end of its response."},
+	{"request.first.SERVICE.KIND", "timer", "Time from the arrival of a served request to its first event or its response."},
+	{"request.pause.SERVICE", "timer", "Time between two events of a stream."},
+	{"request.failed", "timer", "Time from the arrival of a request to the node's own error response."},
+	{"attempts", "counter", "Attempts: requests sent to upstreams, retries included."},
+	{"attempts.repeated", "counter", "Attempts after the first of a request; they draw on the retry budget."},
+	{"repeats.SERVICE", "counter", "Attempts after the first of a request, by service."},
+	{"repeats.refused.SERVICE", "counter", "Attempts that the retry budget did not allow, by service."},
+	{"attempts.resumed", "counter", "Attempts that resumed a stream within its response."},
+	{"attempts.failed.CODE", "counter", "Attempts without a complete response, by cause."},
+	{"streams.lost", "counter", "Streams that stalled while their head still served others; they resumed elsewhere."},
+	{"upstreams.ended", "counter", "Terminations of upstream VMs that were recorded against a request they ran."},
+	{"upstreams.limits.heard", "counter", "Responses in which an upstream VM reported a limit of requests per second."},
+	{"upstreams.rests.heard", "counter", "Responses in which an upstream VM rejected a request and asked for backoff."},
+	{"upstreams.leaving.heard", "counter", "Responses in which an upstream VM announced that it is leaving."},
+	{"requests.held_back", "counter", "Requests that were refused because all upstream VMs that could serve them had asked for fewer requests."},
+	{"upstreams.conditions.unreadable", "counter", "Responses with a report of the upstream VM's condition that could not be read."},
+	{"quarantine.requests", "counter", "Requests that were quarantined, by this node or another one."},
 	{"quarantine.refused", "counter", "Calls that were refused because their request is in quarantine."},
-	{"held_up", "counter", "Times for which this process did not get the processor."},
+	{"held_up", "counter", "Scheduling stalls: times during which this process did not get the processor."},
 	{"requests.unanswered", "counter", "Connections that ended with a request that was read and not handled."},
-	{"quarantine.on_trial", "counter", "Calls that were refused while their request, a suspect, was being tried for another caller."},
-	{"heads.stalled", "counter", "Heads whose streams all fell silent at this node."},
-	{"groups.open.MODEL", "gauge", "Groups of the model that take requests."},
-	{"load.own.MODEL", "gauge", "Requests for the model a second that come to this node."},
-	{"load.all.MODEL", "gauge", "Requests for the model a second at all nodes, as far as this one knows."},
-	{"load.turned_away.MODEL", "gauge", "Part of them that is turned away by the newest decision, in percent."},
-	{"load.life_ms.MODEL", "gauge", "How long requests for the model are at a head, learned from those that ended well."},
-	{"load.offset_ms.MODEL", "gauge", "What first events take beyond their prediction, learned."},
+	{"quarantine.on_trial", "counter", "Calls that were refused while their request, a suspect, was running for another caller as a trial."},
+	{"heads.stalled", "counter", "Heads of which all streams at this node stalled."},
+	{"groups.open.MODEL", "gauge", "Groups of the model that accept requests."},
+	{"load.own.MODEL", "gauge", "Requests per second for the model at this node."},
+	{"load.all.MODEL", "gauge", "Requests per second for the model at all nodes, as far as this node knows."},
+	{"load.turned_away.MODEL", "gauge", "Percentage of requests for the model that the latest decision rejects."},
+	{"load.life_ms.MODEL", "gauge", "Service time of requests for the model at a head, learned from those that completed without error."},
+	{"load.offset_ms.MODEL", "gauge", "Time by which first events exceed their prediction, learned."},
 	{"catalog.version", "gauge", "Version of the configuration in force."},
-	{"catalog.age_ms", "gauge", "Age of the proof that it is the newest, as of the balancer's last question."},
-	{"start.PART_ms", "gauge", "How long after the start the node had a part of what it needs: configuration, upstreams, nodes, keys, groups."},
+	{"catalog.age_ms", "gauge", "Time since the configuration was last verified to be the newest, as of the balancer's latest check."},
+	{"start.PART_ms", "gauge", "Time from the start until the node had a part of what it needs: configuration, upstreams, nodes, keys, groups."},
 	{"platform.calls.VERB.KIND", "counter", "Calls to the platform's store: get, list, watch or write, and the kind of object."},
-	{"director.reports", "counter", "Reports asked of VMs."},
-	{"director.orders.ORDER", "counter", "Orders sent to VMs, by what they ask for."},
-	{"log.dropped", "gauge", "Log lines lost because the reader of standard output was too slow."},
-	{"log.skipped", "gauge", "Ordinary log lines left out by log.rate."},
+	{"director.reports", "counter", "Reports requested from VMs."},
+	{"director.orders.ORDER", "counter", "Orders sent to VMs, by kind of order."},
+	{"log.dropped", "gauge", "Log lines dropped because the reader of standard output was too slow."},
+	{"log.skipped", "gauge", "Log lines of events below the level of warnings that log.rate skipped."},
 }
--- a/internal/metrics/catalogue_test.go
+++ b/internal/metrics/catalogue_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestMetricsPage compares docs/METRICS.md with the catalogue. Run the test with
-// -update to write the page anew.
+// -update to regenerate the page.
 func TestMetricsPage(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`# Metrics
@@ -21,8 +21,8 @@
 Prometheus text format, or as JSON with ` + "`?format=json`" + `. In the text format a
 name begins with ` + "`marbleroad_`" + `, dots and hyphens become underscores, and a timer is a
 summary in seconds with the quantiles 0.5, 0.95 and 0.99, a sum and a count.
-Upper-case words stand for what a metric is kept by. This page is made from the
-code (` + "`go test ./internal/metrics -update`" + `).
+Upper-case words stand for the values by which a metric is split. This page is
+generated from the code (` + "`go test ./internal/metrics -update`" + `).
 
 | name | kind | meaning |
 |---|---|---|
@@ -33,12 +33,14 @@
 	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "METRICS", []byte(b.String()))
 }
 
-var used = regexp.MustCompile(`etrics\.(Count|Set|Observe)\("([a-z_.]+)"`)
+// metricUse matches a use of a metric with its name.
+var metricUse = regexp.MustCompile(`etrics\.(Count|Set|Observe)\("([a-z_.]+)"`)
 
-// TestEveryMetricIsListed looks through the sources of marbleroad-node.
+// TestEveryMetricIsListed searches the sources of marbleroad-node for metrics that the
+// catalogue does not list.
 func TestEveryMetricIsListed(t *testing.T) {
 	kinds := map[string]string{"Count": "counter", "Set": "gauge", "Observe": "timer"}
-	found := 0
+	uses := 0
 	for _, folder := range []string{"gateway", "director"} {
 		files, err := filepath.Glob("../" + folder + "/*.go")
 		if err != nil {
@@ -49,25 +51,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, m := range used.FindAllStringSubmatch(string(source), -1) {
-				found++
+			for _, m := range metricUse.FindAllStringSubmatch(string(source), -1) {
+				uses++
 				if !listed(m[2], kinds[m[1]]) {
 					t.Errorf("%s: %s %q is not in the catalogue", file, kinds[m[1]], m[2])
 				}
 			}
 		}
 	}
-	if found < len(Catalogue)/2 {
-		t.Errorf("only %d uses found", found)
+	if uses < len(Catalogue)/2 {
+		t.Errorf("only %d uses found", uses)
 	}
 }
 
-// kept is what a metric is kept by, to the end of its name.
-var kept = regexp.MustCompile(`[A-Z].*`)
+// placeholders matches a name from its first placeholder to its end.
+var placeholders = regexp.MustCompile(`[A-Z].*`)
 
+// listed reports whether the catalogue has a metric of this kind whose name, up to its
+// first placeholder, is the given one.
 func listed(name, kind string) bool {
 	for _, m := range Catalogue {
-		if m.Kind == kind && kept.ReplaceAllString(m.Name, "") == name {
+		if m.Kind == kind && placeholders.ReplaceAllString(m.Name, "") == name {
 			return true
 		}
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,27 +23,27 @@
 	return &Registry{inner: gometrics.NewRegistry()}
 }
 
-// Count adds n to a counter.
+// Count adds n to the counter.
 func (r *Registry) Count(name string, n int64) {
 	gometrics.GetOrRegisterCounter(name, r.inner).Inc(n)
 }
 
-// Set sets a gauge.
+// Set sets the gauge to v.
 func (r *Registry) Set(name string, v int64) {
 	gometrics.GetOrRegisterGauge(name, r.inner).Update(v)
 }
 
-// Observe adds a duration to a timer.
+// Observe records a duration in the timer.
 func (r *Registry) Observe(name string, d time.Duration) {
 	gometrics.GetOrRegisterTimer(name, r.inner).Update(d)
 }
 
-// Counter returns a counter's value; zero when it was never used.
+// Counter returns the value of a counter, which is zero if it was never used.
 func (r *Registry) Counter(name string) int64 {
 	return gometrics.GetOrRegisterCounter(name, r.inner).Count()
 }
 
-// ServeHTTP serves the Prometheus text format, or JSON with ?format=json.
+// ServeHTTP serves the metrics in the Prometheus text format, or JSON with ?format=json.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Query().Get("format") == "json" {
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,4 +1,5 @@
-// Package tracing sets up OpenTelemetry: a span per hop, W3C context carried on.
+// Package tracing sets up OpenTelemetry. Each hop has a span and propagates the W3C trace
+// context.
 package tracing
 
 import (
@@ -21,7 +22,7 @@
 const (
 	tracerName = "github.com/marbleroad/marbleroad"
 	filePrefix = "file:"
-	// None is the target that switches tracing off.
+	// None is the target that disables tracing.
 	None = "none"
 )
 
@@ -32,8 +33,8 @@
 	stop       func(context.Context) error
 }
 
-// New returns a tracer that exports to the target (none, file:PATH or an
-// OTLP/HTTP base URL) and keeps the part sample of new traces.
+// New returns a tracer that exports to the target: none, file:PATH or an OTLP/HTTP base
+// URL. It keeps the fraction sample of the traces that start here.
 func New(ctx context.Context, target, program, node string, sample float64) (*Tracer, error) {
 	if target == None || target == "" {
 		return Off(), nil
@@ -53,7 +54,7 @@
 	return &Tracer{inner: provider.Tracer(tracerName), stop: provider.Shutdown}, nil
 }
 
-// Off returns a tracer that records nothing but still carries context on.
+// Off returns a tracer that records nothing and still propagates the trace context.
 func Off() *Tracer {
 	return &Tracer{
 		inner: noop.NewTracerProvider().Tracer(tracerName),
@@ -74,27 +75,27 @@
 	return exporter, errors.Wrap(err, "trace to OTLP")
 }
 
-// Extract reads the caller's trace context from the header.
+// Extract returns the context with the caller's trace context from the header.
 func (t *Tracer) Extract(ctx context.Context, h http.Header) context.Context {
 	return t.propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Inject writes the trace context to the header.
+// Inject writes the trace context into the header.
 func (t *Tracer) Inject(ctx context.Context, h http.Header) {
 	t.propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// Start starts a span; the caller ends it.
+// Start starts a span, which the caller must end.
 func (t *Tracer) Start(ctx context.Context, name string, kind trace.SpanKind, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
 	return t.inner.Start(ctx, name, trace.WithSpanKind(kind), trace.WithAttributes(attrs...))
 }
 
-// Stop exports what is left.
+// Stop exports the remaining spans and stops the tracer.
 func (t *Tracer) Stop(ctx context.Context) error {
 	return errors.Wrap(t.stop(ctx), "export spans")
 }
 
-// Transport wraps a transport with a client span for each call.
+// Transport wraps a transport so that each call has a client span.
 func (t *Tracer) Transport(name string, next http.RoundTripper) http.RoundTripper {
 	return tracedTransport{tracer: t, name: name, next: next}
 }
@@ -110,9 +111,9 @@
 	ctx, span := t.tracer.Start(r.Context(), t.name, trace.SpanKindClient,
 		attribute.String("http.request.method", r.Method), attribute.String("url.path", r.URL.Path))
 	defer span.End()
-	sent := r.Clone(ctx)
-	t.tracer.Inject(ctx, sent.Header)
-	resp, err := t.next.RoundTrip(sent)
+	outgoing := r.Clone(ctx)
+	t.tracer.Inject(ctx, outgoing.Header)
+	resp, err := t.next.RoundTrip(outgoing)
 	if err != nil {
 		span.RecordError(err)
 		return nil, err
