--- a/internal/cluster/quarantine_test.go
+++ b/internal/cluster/quarantine_test.go
@@ -15,12 +15,12 @@
 
 // quarantines reports whether the node has a request in quarantine.
 func (n *testNode) quarantines(f quarantine.Fingerprint) bool {
-	return n.suspects.Judge(time.Now(), f).Quarantined > 0
+	return n.suspects.Verdict(time.Now(), f).Quarantined > 0
 }
 
 // terminateUnder records at a node that an upstream terminated under a request that the node sent.
-func (f *testFleet) terminateUnder(node int, request quarantine.Fingerprint, life quarantine.Life) quarantine.Verdict {
-	return f.nodes[fmt.Sprintf("n%03d", node)].suspects.Ended(time.Now(), request, life, true)
+func (f *testFleet) terminateUnder(node int, request quarantine.Fingerprint, life quarantine.Incarnation) quarantine.Verdict {
+	return f.nodes[fmt.Sprintf("n%03d", node)].suspects.RecordTermination(time.Now(), request, life, true)
 }
 
 // TestRequestInQuarantineIsKnownEverywhere: a crashing request came to a node of another failure
@@ -40,7 +40,7 @@
 				isolated.partitioned.Store(true)
 				for i := range 3 {
 					time.Sleep(1500 * time.Millisecond)
-					f.terminateUnder(i, request, quarantine.Life(i+1))
+					f.terminateUnder(i, request, quarantine.Incarnation(i+1))
 				}
 				elapsed := f.waitForAll(t, propagationBound, "the request in quarantine", func(n *testNode) bool { return n.quarantines(request) })
 				t.Logf("at all nodes %v after the third termination", elapsed)
@@ -77,11 +77,11 @@
 		for head := range heads {
 			for i := range running {
 				request := quarantine.Fingerprint(head*running + i + 1)
-				f.terminateUnder(i%8, request, quarantine.Life(head+1))
+				f.terminateUnder(i%8, request, quarantine.Incarnation(head+1))
 			}
 			time.Sleep(500 * time.Millisecond)
 			for i := range running {
-				f.nodes[fmt.Sprintf("n%03d", i%8)].suspects.Served(time.Now(), quarantine.Fingerprint(head*running+i+1))
+				f.nodes[fmt.Sprintf("n%03d", i%8)].suspects.RecordSuccess(time.Now(), quarantine.Fingerprint(head*running+i+1))
 			}
 		}
 		seconds := heads / 2
@@ -96,8 +96,8 @@
 		time.Sleep(3 * time.Second)
 		for id, n := range f.nodes {
 			for request := range quarantine.Fingerprint(heads * running) {
-				if v := n.suspects.Judge(time.Now(), request+1); v.Ends > 0 {
-					t.Fatalf("%s holds %d terminations against a request that was served since", id, v.Ends)
+				if v := n.suspects.Verdict(time.Now(), request+1); v.Terminations > 0 {
+					t.Fatalf("%s holds %d terminations against a request that was served since", id, v.Terminations)
 				}
 			}
 		}
--- a/internal/ctl/node_test.go
+++ b/internal/ctl/node_test.go
@@ -57,8 +57,8 @@
 // an error for a request without terminations and for a malformed fingerprint.
 func TestRelease(t *testing.T) {
 	suspects := quarantine.NewTable()
-	for life := range quarantine.Life(3) {
-		suspects.Ended(clock.Now(), 0xf3a4f860b4ef0563, life, true)
+	for incarnation := range quarantine.Incarnation(3) {
+		suspects.RecordTermination(clock.Now(), 0xf3a4f860b4ef0563, incarnation, true)
 	}
 	server := httptest.NewServer(inspect.Release(suspects))
 	defer server.Close()
@@ -70,7 +70,7 @@
 	if code, out := release("f3a4f860b4ef0563"); code != exitOK {
 		t.Errorf("exit code %d: %s", code, out)
 	}
-	if v := suspects.Judge(clock.Now(), 0xf3a4f860b4ef0563); v != (quarantine.Verdict{}) {
+	if v := suspects.Verdict(clock.Now(), 0xf3a4f860b4ef0563); v != (quarantine.Verdict{}) {
 		t.Errorf("still on record: %+v", v)
 	}
 	if code, out := release("f3a4f860b4ef0563"); code != exitFailure || !strings.Contains(out, "has no terminations on record") {
--- a/internal/inspect/release.go
+++ b/internal/inspect/release.go
@@ -24,11 +24,11 @@
 			return
 		}
 		now := clock.Now()
-		if v := suspects.Judge(now, f); v.Ends == 0 {
+		if v := suspects.Verdict(now, f); v.Terminations == 0 {
 			http.Error(w, "no termination is on record here for this request", http.StatusNotFound)
 			return
 		}
-		suspects.Served(now, f)
+		suspects.RecordSuccess(now, f)
 		w.WriteHeader(http.StatusNoContent)
 	})
 }
