--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,8 +18,8 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Reporter reports whether the daemon is ready for requests, and if not, the reason.
-type Reporter interface {
+// ReadinessReporter reports whether the daemon is ready for requests, and if not, the reason.
+type ReadinessReporter interface {
 	Ready() (ready bool, reason string)
 }
 
@@ -29,7 +29,7 @@
 	mux              *http.ServeMux
 	http             *http.Server
 	readinessService string
-	reporter         Reporter
+	reporter         ReadinessReporter
 }
 
 // New returns an admin server for the address. readinessService names the kernel service
@@ -63,18 +63,18 @@
 	return s
 }
 
-// Serve adds a handler for GET requests to the path. It must be called before Start.
-func (s *Server) Serve(path string, h http.Handler) { s.mux.Handle("GET "+path, h) }
+// HandleGet adds a handler for GET requests to the path. It must be called before Start.
+func (s *Server) HandleGet(path string, h http.Handler) { s.mux.Handle("GET "+path, h) }
 
-// Take adds a handler for POST requests to the path. It must be called before Start.
-func (s *Server) Take(path string, h http.Handler) { s.mux.Handle("POST "+path, h) }
+// HandlePost adds a handler for POST requests to the path. It must be called before Start.
+func (s *Server) HandlePost(path string, h http.Handler) { s.mux.Handle("POST "+path, h) }
 
 // Name implements kernel.Service.
 func (s *Server) Name() string { return ServiceName }
 
 // Provision implements kernel.Provisioner.
 func (s *Server) Provision(k *kernel.Kernel) (err error) {
-	s.reporter, err = kernel.Lookup[Reporter](k, s.readinessService)
+	s.reporter, err = kernel.Lookup[ReadinessReporter](k, s.readinessService)
 	return err
 }
 
--- a/internal/ctl/node.go
+++ b/internal/ctl/node.go
@@ -80,7 +80,7 @@
 		ready = "no: " + v.NotReady
 	}
 	g.add(v.Node, v.FailureDomain, ready, "this node", strings.Join(v.Directing, " "),
-		fmt.Sprintf("%d, proven %s ago", v.Configuration.Version, rounded(v.Configuration.ProvenAge)),
+		fmt.Sprintf("%d, proven %s ago", v.Configuration.Version, rounded(v.Configuration.VerifiedAge)),
 		fmt.Sprintf("%d, proven %s ago", v.ListRevision, rounded(v.ListAge)))
 	for _, n := range v.Nodes {
 		state := ""
@@ -96,7 +96,7 @@
 	g := grid{header: []string{"group", "generation", "service", "model", "listed", "state", "running", "shunned", "members"}}
 	for _, group := range v.Groups {
 		g.add(group.Name, strconv.FormatUint(group.Generation, 10), group.Service, group.Model, fmt.Sprintf("%d of %d", len(group.Members), group.Size),
-			group.State, strconv.Itoa(group.Running), group.Shunned, strings.Join(group.Members, " "))
+			group.State, strconv.Itoa(group.Running), group.ExclusionReason, strings.Join(group.Members, " "))
 	}
 	return g, v.Groups
 }
@@ -131,7 +131,7 @@
 		if s.Quarantined {
 			state = "in quarantine"
 		}
-		g.add(s.Fingerprint, strconv.Itoa(s.Ends), rounded(s.LastEnd)+" ago", state, s.Left.Round(time.Second).String())
+		g.add(s.Fingerprint, strconv.Itoa(s.Terminations), rounded(s.LastTermination)+" ago", state, s.Remaining.Round(time.Second).String())
 	}
 	return g, v.Suspects
 }
--- a/internal/ctl/node_test.go
+++ b/internal/ctl/node_test.go
@@ -19,12 +19,12 @@
 func testView() inspect.View {
 	return inspect.View{
 		Node: "front-a-1", FailureDomain: "a", Ready: true, ListAge: 420 * time.Millisecond, ListRevision: 812, Directing: []string{"a"},
-		Configuration: inspect.Configuration{Version: 46, ProvenAge: 800 * time.Millisecond, Services: []string{"llm"}, Teams: []string{"ops"},
+		Configuration: inspect.Configuration{Version: 46, VerifiedAge: 800 * time.Millisecond, Services: []string{"llm"}, Teams: []string{"ops"},
 			Routes: []inspect.Route{{Name: "r-1", Host: "h.example", Prefix: "/a/", Kind: "stream", Priority: 1, Timeout: 8 * time.Second, Services: []string{"llm"}}}},
 		Nodes: []inspect.Node{{ID: "front-b-1", FailureDomain: "b", Age: 210 * time.Millisecond, Directing: []string{"b"}, Stopping: true}},
 		Groups: []inspect.Group{
 			{Name: "g-1", Generation: 66, Service: "llm", Model: "big", Size: 2, Members: []string{"v1", "v2"}, State: "open", Running: 7},
-			{Name: "g-2", Generation: 70, Service: "llm", Model: "big", Size: 2, Members: []string{"v3"}, State: "open", Running: 1, Shunned: "its streams fell silent"},
+			{Name: "g-2", Generation: 70, Service: "llm", Model: "big", Size: 2, Members: []string{"v3"}, State: "open", Running: 1, ExclusionReason: "its streams fell silent"},
 		},
 		Upstreams: []inspect.VM{
 			{ID: "v1", Address: "10.0.0.1:80", Service: "llm", FailureDomain: "a", Fabric: "a-d0", Group: "g-1", State: "open", Staged: []string{"small"},
@@ -32,8 +32,8 @@
 			{ID: "v9", Address: "10.0.0.9:80", Service: "api", FailureDomain: "a", Draining: true, State: "unassigned"},
 		},
 		Suspects: []inspect.Suspect{
-			{Fingerprint: "f3a4f860b4ef0563", Ends: 3, LastEnd: 90 * time.Second, Quarantined: true, Left: 58*time.Minute + 30*time.Second},
-			{Fingerprint: "00a4f860b4ef0563", Ends: 1, LastEnd: 700 * time.Millisecond, Left: 29 * time.Second},
+			{Fingerprint: "f3a4f860b4ef0563", Terminations: 3, LastTermination: 90 * time.Second, Quarantined: true, Remaining: 58*time.Minute + 30*time.Second},
+			{Fingerprint: "00a4f860b4ef0563", Terminations: 1, LastTermination: 700 * time.Millisecond, Remaining: 29 * time.Second},
 		},
 	}
 }
@@ -60,7 +60,7 @@
 	for incarnation := range quarantine.Incarnation(3) {
 		suspects.RecordTermination(clock.Now(), 0xf3a4f860b4ef0563, incarnation, true)
 	}
-	server := httptest.NewServer(inspect.Release(suspects))
+	server := httptest.NewServer(inspect.ReleaseHandler(suspects))
 	defer server.Close()
 	release := func(fingerprint string) (int, string) {
 		var out bytes.Buffer
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -120,11 +120,11 @@
 	directory.OnChange(func(*fleet.Snapshot) { server.Rebuild() })
 	directory.OnChange(groups.Refresh)
 	operators := admin.New(s.Gateway.Admin, b.metrics, gateway.ServerName, s.Debug.Pprof)
-	operators.Serve(inspect.Path, inspect.Handler(inspect.Sources{
+	operators.HandleGet(inspect.Path, inspect.Handler(inspect.Sources{
 		Node:          self.ID,
 		FailureDomain: self.FailureDomain,
 		Ready:         server.Ready,
-		Keeper:        keeper,
+		CatalogCache:  keeper,
 		Directory:     directory,
 		Cluster:       nodes,
 		Directing:     groups.Directing,
@@ -132,7 +132,7 @@
 		Condition:     server.Condition,
 		Suspects:      suspects,
 	}))
-	operators.Take(inspect.ReleasePath, inspect.Release(suspects))
+	operators.HandlePost(inspect.ReleasePath, inspect.ReleaseHandler(suspects))
 	return assemble(
 		startup.NewWatch(b.log, b.metrics,
 			startup.Part{Name: "configuration", There: func() bool { return keeper.Catalog() != nil }},
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -42,24 +42,24 @@
 // Suspect is a request during which upstream VMs terminated since it was last served.
 type Suspect struct {
 	// Fingerprint identifies the request as in the log events 5008 and 5012.
-	Fingerprint string `json:"fingerprint"`
-	Ends        int    `json:"ends"`
-	// LastEnd is the time since the latest termination.
-	LastEnd time.Duration `json:"last_end_ns"`
-	// Quarantined reports whether the request is refused. Left is the time until the
+	Fingerprint  string `json:"fingerprint"`
+	Terminations int    `json:"ends"`
+	// LastTermination is the time since the latest termination.
+	LastTermination time.Duration `json:"last_end_ns"`
+	// Quarantined reports whether the request is refused. Remaining is the time until the
 	// quarantine, or else the suspicion, expires.
 	Quarantined bool          `json:"quarantined"`
-	Left        time.Duration `json:"left_ns"`
+	Remaining   time.Duration `json:"left_ns"`
 }
 
 // Configuration is the operators' configuration in force.
 type Configuration struct {
 	Version uint64 `json:"version"`
-	// ProvenAge is the time since it was last known to be the newest.
-	ProvenAge time.Duration `json:"proven_age_ns"`
-	Routes    []Route       `json:"routes"`
-	Services  []string      `json:"services"`
-	Teams     []string      `json:"teams"`
+	// VerifiedAge is the time since it was last known to be the newest.
+	VerifiedAge time.Duration `json:"proven_age_ns"`
+	Routes      []Route       `json:"routes"`
+	Services    []string      `json:"services"`
+	Teams       []string      `json:"teams"`
 }
 
 // Route is one route of the configuration.
@@ -96,8 +96,8 @@
 	// Running is the number of requests that all nodes have in flight at the group, as far
 	// as this node knows.
 	Running int `json:"running"`
-	// Shunned is the reason why this node sends the group no requests; empty if it does.
-	Shunned string `json:"shunned,omitempty"`
+	// ExclusionReason is the reason why this node sends the group no requests; empty if it does.
+	ExclusionReason string `json:"shunned,omitempty"`
 }
 
 // VM is an upstream VM.
@@ -121,13 +121,13 @@
 	Node          string
 	FailureDomain string
 	Ready         func() (bool, string)
-	Keeper        *catalog.Keeper
+	CatalogCache  *catalog.Keeper
 	Directory     *fleet.Directory
 	Cluster       *cluster.Cluster
 	Directing     func() []string
 	// Load returns the requests running at a group's head and the reason why this node
-	// sends none there, if so.
-	Load func(vm, group string) (running int, shunned string)
+	// sends none there; empty if it does.
+	Load func(vm, group string) (running int, exclusionReason string)
 	// Condition returns the condition that a VM reports.
 	Condition func(vm *fleet.VM) string
 	// Suspects records the requests during which upstreams terminated.
@@ -149,17 +149,17 @@
 	v := View{Node: s.Node, FailureDomain: s.FailureDomain, Directing: s.Directing()}
 	v.Ready, v.NotReady = s.Ready()
 	for _, r := range s.Suspects.Suspects(now) {
-		v.Suspects = append(v.Suspects, Suspect{Fingerprint: r.Fingerprint.String(), Ends: len(r.Terminations), LastEnd: now.Sub(r.Terminations[len(r.Terminations)-1].At),
-			Quarantined: !r.QuarantinedAt.IsZero(), Left: r.ExpiresAt().Sub(now)})
+		v.Suspects = append(v.Suspects, Suspect{Fingerprint: r.Fingerprint.String(), Terminations: len(r.Terminations), LastTermination: now.Sub(r.Terminations[len(r.Terminations)-1].At),
+			Quarantined: !r.QuarantinedAt.IsZero(), Remaining: r.ExpiresAt().Sub(now)})
 	}
 	for _, p := range s.Cluster.Live(now) {
 		v.Nodes = append(v.Nodes, Node{ID: p.ID, FailureDomain: p.FailureDomain, Age: now.Sub(p.LastSeen),
 			Directing: p.State.GetDirecting(), Stopping: p.State.GetStopping()})
 	}
-	current := s.Keeper.Catalog()
+	current := s.CatalogCache.Catalog()
 	if current != nil {
 		v.Configuration = configuration(current)
-		v.Configuration.ProvenAge = s.Keeper.ProvenAge(now)
+		v.Configuration.VerifiedAge = s.CatalogCache.ProvenAge(now)
 	}
 	if list := s.Directory.Snapshot(); list != nil {
 		v.ListAge, v.ListRevision = now.Sub(list.VerifiedAt), list.Revision
@@ -207,7 +207,7 @@
 		}
 		if head := reported.Head(); head != nil {
 			group.State = head.State.String()
-			group.Running, group.Shunned = s.Load(head.ID, name)
+			group.Running, group.ExclusionReason = s.Load(head.ID, name)
 		}
 		group.Size = modelSize(current, reported)
 		out = append(out, group)
--- a/internal/inspect/release.go
+++ b/internal/inspect/release.go
@@ -14,9 +14,9 @@
 	FingerprintParameter = "fingerprint"
 )
 
-// Release returns a handler that releases a request from quarantine here and, as the nodes exchange
+// ReleaseHandler returns a handler that releases a request from quarantine here and, as the nodes exchange
 // their records, at all nodes.
-func Release(suspects *quarantine.Table) http.Handler {
+func ReleaseHandler(suspects *quarantine.Table) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f, err := quarantine.ParseFingerprint(r.URL.Query().Get(FingerprintParameter))
 		if err != nil {
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -218,7 +218,7 @@
 	}
 	open := 0
 	for _, g := range v.Groups {
-		if g.State == "open" && len(g.Members) == 2 && g.Size == 2 && g.Shunned == "" {
+		if g.State == "open" && len(g.Members) == 2 && g.Size == 2 && g.ExclusionReason == "" {
 			open++
 		}
 	}
