--- a/internal/catalog/keeper.go
+++ b/internal/catalog/keeper.go
@@ -156,7 +156,7 @@
 			failing.Reset()
 			c.recordVerified(w)
 		case errors.Is(err, platform.ErrCompacted):
-			c.log.Emit(event.HistoryGone).Str("of", "catalog").Uint64("revision", revision).Send()
+			c.log.Emit(event.WatchHistoryExpired).Str("of", "catalog").Uint64("revision", revision).Send()
 			watching = false
 			wait.Sleep(ctx, minRetryPause)
 		case errors.Is(err, platform.ErrNotFound) && w.Revision > 0:
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -242,7 +242,7 @@
 		line.Send()
 	}
 	if errors.Is(err, platform.ErrConflict) {
-		k.parts.Log.Emit(event.PlanLost).Str("fabric", p.Fabric).Uint64("version", p.Version).Send()
+		k.parts.Log.Emit(event.PlanConflict).Str("fabric", p.Fabric).Uint64("version", p.Version).Send()
 	}
 	k.sendToState(planAttempted{fabric: p.Fabric, baseVersion: object.Version, err: err})
 }
--- a/internal/ctl/node_test.go
+++ b/internal/ctl/node_test.go
@@ -19,12 +19,12 @@
 func testView() inspect.View {
 	return inspect.View{
 		Node: "front-a-1", FailureDomain: "a", Ready: true, ListAge: 420 * time.Millisecond, ListRevision: 812, Directing: []string{"a"},
-		Configuration: inspect.Configuration{Version: 46, ProvenAge: 800 * time.Millisecond, Services: []string{"llm"}, Teams: []string{"ops"},
+		Configuration: inspect.Configuration{Version: 46, VerifiedAge: 800 * time.Millisecond, Services: []string{"llm"}, Teams: []string{"ops"},
 			Routes: []inspect.Route{{Name: "r-1", Host: "h.example", Prefix: "/a/", Kind: "stream", Priority: 1, Timeout: 8 * time.Second, Services: []string{"llm"}}}},
 		Nodes: []inspect.Node{{ID: "front-b-1", FailureDomain: "b", Age: 210 * time.Millisecond, Directing: []string{"b"}, Stopping: true}},
 		Groups: []inspect.Group{
 			{Name: "g-1", Generation: 66, Service: "llm", Model: "big", Size: 2, Members: []string{"v1", "v2"}, State: "open", Running: 7},
-			{Name: "g-2", Generation: 70, Service: "llm", Model: "big", Size: 2, Members: []string{"v3"}, State: "open", Running: 1, Shunned: "its streams fell silent"},
+			{Name: "g-2", Generation: 70, Service: "llm", Model: "big", Size: 2, Members: []string{"v3"}, State: "open", Running: 1, ExclusionReason: "its streams fell silent"},
 		},
 		Upstreams: []inspect.VM{
 			{ID: "v1", Address: "10.0.0.1:80", Service: "llm", FailureDomain: "a", Fabric: "a-d0", Group: "g-1", State: "open", Staged: []string{"small"},
@@ -32,12 +32,13 @@
 			{ID: "v9", Address: "10.0.0.9:80", Service: "api", FailureDomain: "a", Draining: true, State: "unassigned"},
 		},
 		Suspects: []inspect.Suspect{
-			{Fingerprint: "f3a4f860b4ef0563", Ends: 3, LastEnd: 90 * time.Second, Quarantined: true, Left: 58*time.Minute + 30*time.Second},
-			{Fingerprint: "00a4f860b4ef0563", Ends: 1, LastEnd: 700 * time.Millisecond, Left: 29 * time.Second},
+			{Fingerprint: "f3a4f860b4ef0563", Terminations: 3, LastTermination: 90 * time.Second, Quarantined: true, Remaining: 58*time.Minute + 30*time.Second},
+			{Fingerprint: "00a4f860b4ef0563", Terminations: 1, LastTermination: 700 * time.Millisecond, Remaining: 29 * time.Second},
 		},
 	}
 }
 
+// TestNodeViews compares what each node command prints with the golden file.
 func TestNodeViews(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(testView()) }))
 	defer server.Close()
@@ -52,14 +53,14 @@
 	goldie.New(t).Assert(t, "node", out.Bytes())
 }
 
-// TestRelease: what an operator lets out of quarantine is let out; what is not there, or no
-// fingerprint, is said so.
+// TestRelease checks that the release command releases a request from quarantine, and reports
+// an error for a request without terminations and for a malformed fingerprint.
 func TestRelease(t *testing.T) {
 	suspects := quarantine.NewTable()
-	for life := range quarantine.Incarnation(3) {
-		suspects.RecordTermination(clock.Now(), 0xf3a4f860b4ef0563, life, true)
+	for incarnation := range quarantine.Incarnation(3) {
+		suspects.RecordTermination(clock.Now(), 0xf3a4f860b4ef0563, incarnation, true)
 	}
-	server := httptest.NewServer(inspect.Release(suspects))
+	server := httptest.NewServer(inspect.ReleaseHandler(suspects))
 	defer server.Close()
 	release := func(fingerprint string) (int, string) {
 		var out bytes.Buffer
@@ -70,25 +71,25 @@
 		t.Errorf("exit code %d: %s", code, out)
 	}
 	if v := suspects.Verdict(clock.Now(), 0xf3a4f860b4ef0563); v != (quarantine.Verdict{}) {
-		t.Errorf("still held: %+v", v)
+		t.Errorf("still on record: %+v", v)
 	}
-	if code, out := release("f3a4f860b4ef0563"); code != exitFailure || !strings.Contains(out, "holds nothing against") {
-		t.Errorf("a second time: exit code %d: %s", code, out)
+	if code, out := release("f3a4f860b4ef0563"); code != exitFailure || !strings.Contains(out, "has no terminations on record") {
+		t.Errorf("second release: exit code %d: %s", code, out)
 	}
 	if code, out := release("soon"); code != exitUsage || !strings.Contains(out, "hexadecimal") {
-		t.Errorf("no fingerprint: exit code %d: %s", code, out)
+		t.Errorf("malformed fingerprint: exit code %d: %s", code, out)
 	}
 }
 
-func TestNodeFaults(t *testing.T) {
-	other := httptest.NewServer(http.NotFoundHandler())
-	defer other.Close()
+func TestNodeErrors(t *testing.T) {
+	notNode := httptest.NewServer(http.NotFoundHandler())
+	defer notNode.Close()
 	var out bytes.Buffer
 	if code := Main([]string{"node", "status", "--node", ""}, strings.NewReader(""), &out, &out); code != exitUsage {
 		t.Errorf("without a node: exit code %d", code)
 	}
 	out.Reset()
-	code := Main([]string{"node", "status", "--node", strings.TrimPrefix(other.URL, "http://")}, strings.NewReader(""), &out, &out)
+	code := Main([]string{"node", "status", "--node", strings.TrimPrefix(notNode.URL, "http://")}, strings.NewReader(""), &out, &out)
 	if code != exitFailure || !strings.Contains(out.String(), "gateway.admin") {
 		t.Errorf("another server: exit code %d, %s", code, out.String())
 	}
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -202,7 +202,7 @@
 	s.metrics.Count("failed."+failure.Code, 1)
 	s.metrics.Observe("request.failed", elapsed)
 	if callerLeft(r, failure) {
-		s.log.Emit(event.CallerLeft).Str("request", c.ID).Str("route", name).Dur("took_ms", elapsed).Send()
+		s.log.Emit(event.CallerDisconnected).Str("request", c.ID).Str("route", name).Dur("took_ms", elapsed).Send()
 		panic(http.ErrAbortHandler)
 	}
 	kind := event.RequestRefused
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -235,7 +235,7 @@
 
 // Write implements io.Writer.
 func (w errorLogWriter) Write(p []byte) (int, error) {
-	kind := event.ListenerFault
+	kind := event.ConnectionFailed
 	if bytes.Contains(p, []byte("panic serving")) {
 		kind = event.HandlerPanicked
 	}
@@ -397,7 +397,7 @@
 	s.publishLoadStats(now)
 	if stalled := s.targets.detectSchedulingStall(now); stalled >= minLoggedStall {
 		s.metrics.Count("held_up", 1)
-		s.log.Emit(event.HeldUp).Int64("for_ms", stalled.Milliseconds()).Send()
+		s.log.Emit(event.SchedulingStall).Int64("for_ms", stalled.Milliseconds()).Send()
 	}
 	s.confirmTerminations(now)
 	s.metrics.Count("streams.lost", int64(s.moveAll(now, s.targets.findLost(now), errLostResponse)))
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -225,7 +225,7 @@
 	onlySuspect := s.targets.onlySuspect(sent)
 	v := s.quarantine.RecordTermination(clock.Now(), sent.fingerprint, quarantine.IncarnationOf(sent.vm.ID, sent.vm.Born), onlySuspect)
 	s.metrics.Count("upstreams.ended", 1)
-	s.log.Emit(event.UpstreamEnded).Stringer("fingerprint", sent.fingerprint).Str("vm", sent.vm.ID).Int64("born", sent.vm.Born).
+	s.log.Emit(event.UpstreamTerminated).Stringer("fingerprint", sent.fingerprint).Str("vm", sent.vm.ID).Int64("born", sent.vm.Born).
 		Str("group", sent.target.group).Uint64("generation", sent.target.generation).Bool("begun", sent.started).Bool("alone", onlySuspect).
 		Int("ends", v.Terminations).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
 }
