--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -11,13 +11,13 @@
 	"github.com/marbleroad/marbleroad/internal/verdict"
 )
 
-// RetryAfterMillisHeader gives the time to come back exactly; Retry-After
+// RetryAfterMillisHeader gives the retry delay in milliseconds; Retry-After
 // itself only has whole seconds.
 const RetryAfterMillisHeader = "Marbleroad-Retry-After-Ms"
 
 const problemTypePrefix = "https://marbleroad.example/problems/"
 
-// problem is an RFC 9457 body.
+// problem is the body of an RFC 9457 problem document.
 type problem struct {
 	Type         string `json:"type"`
 	Title        string `json:"title"`
@@ -33,6 +33,7 @@
 	Error openAIErrorBody `json:"error"`
 }
 
+// openAIErrorBody describes the failure inside an openAIError.
 type openAIErrorBody struct {
 	Message   string `json:"message"`
 	Type      string `json:"type"`
@@ -41,7 +42,8 @@
 	RequestID string `json:"request_id,omitempty"`
 }
 
-func openAIErrorOf(id string, e *verdict.Error) openAIError {
+// newOpenAIError converts a failure to the OpenAI format.
+func newOpenAIError(id string, e *verdict.Error) openAIError {
 	kind := "server_error"
 	if e.Status < http.StatusInternalServerError {
 		kind = "invalid_request_error"
@@ -58,7 +60,8 @@
 	}}
 }
 
-// writeError sends a final failure before any byte of an answer has gone out.
+// writeError sends a final failure. No byte of a response may have been sent
+// before.
 func writeError(w http.ResponseWriter, id string, openAI bool, e *verdict.Error) {
 	h := w.Header()
 	if id != "" {
@@ -69,7 +72,7 @@
 	if openAI {
 		h.Set("Content-Type", "application/json")
 		w.WriteHeader(e.Status)
-		_ = json.NewEncoder(w).Encode(openAIErrorOf(id, e))
+		_ = json.NewEncoder(w).Encode(newOpenAIError(id, e))
 		return
 	}
 	h.Set("Content-Type", "application/problem+json")
@@ -85,6 +88,7 @@
 	})
 }
 
+// setRetryAfter sets both headers that give the retry delay, if there is one.
 func setRetryAfter(h http.Header, after time.Duration) {
 	if after <= 0 {
 		return
@@ -93,9 +97,9 @@
 	h.Set(RetryAfterMillisHeader, strconv.FormatInt(after.Milliseconds(), 10))
 }
 
-// errorEvent is the explicit end of a stream that can't be completed.
+// errorEvent returns the error event that ends a stream which can't be completed.
 func errorEvent(id string, e *verdict.Error) []byte {
-	data, err := json.Marshal(openAIErrorOf(id, e))
+	data, err := json.Marshal(newOpenAIError(id, e))
 	if err != nil {
 		data = []byte("{}")
 	}
--- a/internal/entry/call_test.go
+++ b/internal/entry/call_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzEventID feeds any text as a Last-Event-ID: what is accepted can name only
-// a failure domain, a VM, a run and a number, and nothing outside them.
+// FuzzEventID parses arbitrary text as a Last-Event-ID. The parts of an accepted ID
+// must not contain characters that change the path or query of a URL.
 func FuzzEventID(f *testing.F) {
 	f.Add("obuda/obuda-gpu-1/01jabc/7")
 	f.Add("../../x/1")
--- a/internal/entry/desk.go
+++ b/internal/entry/desk.go
@@ -10,56 +10,59 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// desk is one service's admission and routing at this entry. mu guards all
-// its fields; it is held for decisions only, never while a request runs.
-type desk struct {
+// dispatcher holds one service's admission queue and routing state at this
+// entry. mu guards all its fields; it is held for decisions only, never while a
+// request runs.
+type dispatcher struct {
 	mu        sync.Mutex
 	queue     *admission.Queue
 	tracker   *routing.Tracker
 	upstreams []view.Upstream
 }
 
-func newDesk() *desk {
-	return &desk{queue: admission.NewQueue(), tracker: routing.NewTracker()}
+func newDispatcher() *dispatcher {
+	return &dispatcher{queue: admission.NewQueue(), tracker: routing.NewTracker()}
 }
 
-// update takes the newest upstreams and this entry's part of their slots.
-func (d *desk) update(now time.Time, service view.Service, liveEntries int) {
+// update sets the current upstreams and resizes the queue to this entry's share
+// of their slots.
+func (d *dispatcher) update(now time.Time, service view.Service, liveEntries int) {
 	slots := 0
 	ids := make(map[string]bool, len(service.Upstreams))
 	for _, u := range service.Upstreams {
 		slots += u.Slots
 		ids[u.ID] = true
 	}
-	part := (slots + liveEntries - 1) / liveEntries
+	localSlots := (slots + liveEntries - 1) / liveEntries
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.upstreams = service.Upstreams
 	d.tracker.Retain(ids)
-	d.queue.Resize(now, part, service.Queue)
+	d.queue.Resize(now, localSlots, service.Queue)
 	d.queue.Expire(now)
-	if part == 0 {
+	if localSlots == 0 {
 		d.queue.RefuseAll(now, admission.NoUpstream)
 	}
 }
 
-// offer brings a request into the queue.
-func (d *desk) offer(now time.Time, r admission.Request) *admission.Ticket {
+// offer submits a request to the queue.
+func (d *dispatcher) offer(now time.Time, r admission.Request) *admission.Ticket {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ticket, _ := d.queue.Offer(now, r)
 	return ticket
 }
 
-func (d *desk) finish(now time.Time, t *admission.Ticket) {
+// finish records that an admitted request has finished.
+func (d *dispatcher) finish(now time.Time, t *admission.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queue.Finish(now, t)
 }
 
-// abandon takes a waiting ticket out; a ticket that began to run meanwhile is
-// finished instead.
-func (d *desk) abandon(now time.Time, t *admission.Ticket) {
+// abandon removes a waiting ticket from the queue; a ticket that was admitted
+// meanwhile is finished instead.
+func (d *dispatcher) abandon(now time.Time, t *admission.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t.State == admission.Running {
@@ -70,11 +73,11 @@
 }
 
 // choose picks an upstream and counts the request as in flight there.
-func (d *desk) choose(now time.Time, blocks []uint64, tried map[string]bool) (view.Upstream, bool) {
+func (d *dispatcher) choose(now time.Time, blocks []uint64, attempted map[string]bool) (view.Upstream, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	candidates := d.tracker.Candidates(now, d.upstreams, blocks)
-	request := routing.Request{Now: now, Affinity: rand.Uint64(), Attempted: tried}
+	request := routing.Request{Now: now, Affinity: rand.Uint64(), Attempted: attempted}
 	if len(blocks) > 0 {
 		request.Affinity = blocks[0]
 	}
@@ -87,14 +90,16 @@
 	return candidates[i].Upstream, true
 }
 
-func (d *desk) took(id string, took time.Duration) {
+// recordDuration records the service time of a request at an upstream.
+func (d *dispatcher) recordDuration(id string, elapsed time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.RecordDuration(id, took)
+	d.tracker.RecordDuration(id, elapsed)
 }
 
-// end notes the end of a try; it reports whether the upstream got ejected.
-func (d *desk) end(now time.Time, id string, failed bool) bool {
+// recordEnd records the end of an attempt and reports whether it ejected the
+// upstream.
+func (d *dispatcher) recordEnd(now time.Time, id string, failed bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	peers := make([]string, len(d.upstreams))
@@ -104,26 +109,29 @@
 	return d.tracker.RecordEnd(now, id, failed, peers)
 }
 
-// rest notes that an upstream wants no request for so long.
-func (d *desk) rest(now time.Time, id string, rest time.Duration) {
+// recordBackoff records that an upstream asked for no requests for a time.
+func (d *dispatcher) recordBackoff(now time.Time, id string, backoff time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.RecordBackoff(now, id, rest)
+	d.tracker.RecordBackoff(now, id, backoff)
 }
 
-func (d *desk) takeRetry() bool {
+// takeRetry takes a retry from the retry budget and reports whether there was
+// one.
+func (d *dispatcher) takeRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.tracker.TakeRetry()
 }
 
-func (d *desk) hasUpstreams() bool {
+func (d *dispatcher) hasUpstreams() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.upstreams) > 0
 }
 
-func (d *desk) load() (running, waiting, capacity int) {
+// load returns the queue's running and waiting requests and its capacity.
+func (d *dispatcher) load() (running, waiting, capacity int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.queue.Running(), d.queue.Waiting(), d.queue.Capacity()
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -20,50 +20,53 @@
 	"github.com/marbleroad/marbleroad/internal/view"
 )
 
-// Codes of refusals in this file.
+// Error codes of the refusals in this file.
 const (
-	codeLedgerAway  = "ledger-unavailable"
-	codeLedgerFull  = "ledger-full"
-	codeKeyReused   = "idempotency-key-reused"
-	codeKeyBegun    = "idempotency-key-begun"
-	codeNoUpstream  = string(admission.NoUpstream)
-	codeRetryBudget = "retry-budget"
+	codeLedgerUnavailable = "ledger-unavailable"
+	codeLedgerFull        = "ledger-full"
+	codeKeyReused         = "idempotency-key-reused"
+	codeKeyBegun          = "idempotency-key-begun"
+	codeNoUpstream        = string(admission.NoUpstream)
+	codeRetryBudget       = "retry-budget"
 )
 
 const (
-	// ledgerRetryAfter is when to come back while the ledger is away.
+	// ledgerRetryAfter is the retry delay while the ledger is unavailable.
 	ledgerRetryAfter = 5 * time.Second
-	// upstreamRetryAfter is when to come back while no upstream serves.
+	// upstreamRetryAfter is the retry delay while no upstream is available.
 	upstreamRetryAfter = 2 * time.Second
-	// refusedRetryAfter is when to come back after upstreams refused.
+	// refusedRetryAfter is the retry delay after upstreams refused the request.
 	refusedRetryAfter = time.Second
-	// maxKeptBody bounds a whole answer that is read before it is sent on, bytes.
-	maxKeptBody = 16 << 20
+	// maxBufferedBody bounds the responses that are read completely before they
+	// are passed on, in bytes.
+	maxBufferedBody = 16 << 20
 )
 
-// serve takes a checked call to its end. It writes the whole answer.
+// serve admits and runs a validated call. It writes the response, unless it
+// returns a failure.
 func (s *Server) serve(ctx context.Context, w http.ResponseWriter, c *call, snapshot *view.Snapshot) *verdict.Error {
-	d := s.desk(c.service.Name)
-	if !d.hasUpstreams() && !c.hop {
+	d := s.dispatcher(c.service.Name)
+	if !d.hasUpstreams() && !c.forwarded {
 		return s.spill(ctx, w, c, "no upstream here")
 	}
-	all := subjects(c, snapshot, s.source.Share())
-	if refusal := s.limits.take(clock.Now(), all); refusal != nil {
-		return refused(refusal)
+	subjects := limitSubjects(c, snapshot, s.source.Share())
+	if refusal := s.limits.acquire(clock.Now(), subjects); refusal != nil {
+		return refusalError(refusal)
 	}
-	ticket, fault := s.admit(ctx, c, d)
-	if fault != nil {
-		s.limits.done(clock.Now(), all, true)
-		return s.spillOrFail(ctx, w, c, fault)
+	ticket, failure := s.admit(ctx, c, d)
+	if failure != nil {
+		s.limits.release(clock.Now(), subjects, true)
+		return s.spillOrFail(ctx, w, c, failure)
 	}
 	defer func() {
 		d.finish(clock.Now(), ticket)
-		s.limits.done(clock.Now(), all, false)
+		s.limits.release(clock.Now(), subjects, false)
 	}()
-	return s.runOnce(ctx, w, c, d)
+	return s.runAtMostOnce(ctx, w, c, d)
 }
 
-func refused(r *admission.Refusal) *verdict.Error {
+// refusalError converts a refusal by admission to the failure for the caller.
+func refusalError(r *admission.Refusal) *verdict.Error {
 	status := http.StatusServiceUnavailable
 	switch r.Reason {
 	case admission.OverRate, admission.OverConcurrency:
@@ -78,6 +81,7 @@
 	}
 }
 
+// refusalDetails maps the reason of a refusal to its text for callers.
 var refusalDetails = map[admission.Reason]string{
 	admission.Displaced:       "a worthier request took the place in the queue",
 	admission.QueueFull:       "the queue is full of requests at least as worthy",
@@ -88,8 +92,8 @@
 	admission.Stopping:        "this entry is shutting down",
 }
 
-// admit waits for the call's turn. A refusal comes at once.
-func (s *Server) admit(ctx context.Context, c *call, d *desk) (*admission.Ticket, *verdict.Error) {
+// admit queues the call and waits until it may run or is refused.
+func (s *Server) admit(ctx context.Context, c *call, d *dispatcher) (*admission.Ticket, *verdict.Error) {
 	ticket := d.offer(clock.Now(), admission.Request{
 		Team:     c.team.Name,
 		Weight:   c.team.Weight,
@@ -100,56 +104,60 @@
 	case <-ticket.Ready:
 	case <-ctx.Done():
 		d.abandon(clock.Now(), ticket)
-		return nil, s.leftWhileWaiting(c)
+		return nil, s.recordAbandoned(c)
 	}
 	if ticket.State == admission.Refused {
-		c.trail.add("refused: %s", ticket.Refusal.Reason)
-		return nil, refused(&ticket.Refusal)
+		c.decisions.add("refused: %s", ticket.Refusal.Reason)
+		return nil, refusalError(&ticket.Refusal)
 	}
-	c.trail.add("admitted at priority %d", c.priority)
+	c.decisions.add("admitted at priority %d", c.priority)
 	return ticket, nil
 }
 
-func (s *Server) leftWhileWaiting(c *call) *verdict.Error {
-	c.trail.add("left the queue: deadline, caller gone or shutdown")
-	return refused(&admission.Refusal{Reason: admission.DeadlineShort, RetryAfter: refusedRetryAfter})
+// recordAbandoned records that a call ended while it waited in the queue, and
+// returns its failure.
+func (s *Server) recordAbandoned(c *call) *verdict.Error {
+	c.decisions.add("left the queue: deadline, caller gone or shutdown")
+	return refusalError(&admission.Refusal{Reason: admission.DeadlineShort, RetryAfter: refusedRetryAfter})
 }
 
-// runOnce guards a call that must run at most once by the ledger, if it has a
-// key, and runs it.
-func (s *Server) runOnce(ctx context.Context, w http.ResponseWriter, c *call, d *desk) *verdict.Error {
-	if !c.once || c.key == "" {
-		_, fault := s.run(ctx, w, c, d)
-		return fault
+// runAtMostOnce runs the call. When the call must run at most once and has an
+// idempotency key, the ledger ensures that it runs only for the key's first
+// attempt.
+func (s *Server) runAtMostOnce(ctx context.Context, w http.ResponseWriter, c *call, d *dispatcher) *verdict.Error {
+	if !c.atMostOnce || c.idempotencyKey == "" {
+		_, failure := s.run(ctx, w, c, d)
+		return failure
 	}
-	key := ledger.KeyOf(c.team.Name, c.key)
-	body := ledger.HashBody([]byte(c.service.Name), []byte(c.method), []byte(c.path), c.body)
-	// Never the request's ID, which may come from outside: an attempt that
-	// passes for another would run the key again.
-	attempt := newRequestID()
-	first, rec, err := s.ledger.Begin(ctx, key, attempt, body)
+	key := ledger.KeyOf(c.team.Name, c.idempotencyKey)
+	body := ledger.HashBody([]byte(c.service.Name), []byte(c.method), []byte(c.upstreamPath), c.body)
+	// The request's ID must not be used here, as it may come from outside: an
+	// attempt with the ID of another attempt would run the key again.
+	attemptID := newRequestID()
+	first, rec, err := s.ledger.Begin(ctx, key, attemptID, body)
 	if err != nil {
-		c.trail.add("ledger: %v", err)
-		// The write may have taken effect though its answer was lost; nothing
-		// was sent, so the key is free again.
-		s.ledger.Finish(key, ledger.Record{Attempt: attempt, Stage: ledger.Released})
-		return ledgerFault(err)
+		c.decisions.add("ledger: %v", err)
+		// The write may have taken effect although its response was lost. The
+		// request was not sent, so the key is released.
+		s.ledger.Finish(key, ledger.Record{Attempt: attemptID, Stage: ledger.Released})
+		return ledgerError(err)
 	}
 	if !first {
-		c.trail.add("ledger: key stands as %s", rec.Stage)
+		c.decisions.add("ledger: key stands as %s", rec.Stage)
 		return replay(w, c, rec)
 	}
-	c.trail.add("ledger: key begun")
-	answer, fault := s.run(ctx, w, c, d)
-	s.ledger.Finish(key, outcome(c, attempt, answer, fault))
-	return fault
+	c.decisions.add("ledger: key begun")
+	response, failure := s.run(ctx, w, c, d)
+	s.ledger.Finish(key, ledgerRecord(c, attemptID, response, failure))
+	return failure
 }
 
-func ledgerFault(err error) *verdict.Error {
+// ledgerError converts an error of the ledger to the failure for the caller.
+func ledgerError(err error) *verdict.Error {
 	e := &verdict.Error{
 		Verdict:    verdict.NotRun,
 		Status:     http.StatusServiceUnavailable,
-		Code:       codeLedgerAway,
+		Code:       codeLedgerUnavailable,
 		Detail:     "the record of requests that run at most once can't be written now",
 		RetryAfter: ledgerRetryAfter,
 		Cause:      err,
@@ -166,7 +174,8 @@
 	return e
 }
 
-// replay answers a call whose key has been begun by another attempt.
+// replay responds to a call whose key another attempt has used: with the stored
+// response if there is one, with a failure otherwise.
 func replay(w http.ResponseWriter, c *call, rec ledger.Record) *verdict.Error {
 	if rec.Stage == ledger.Answered && rec.Answer != nil {
 		h := w.Header()
@@ -187,139 +196,146 @@
 	return &verdict.Error{Verdict: v, Status: http.StatusConflict, Code: codeKeyBegun, Detail: detail}
 }
 
-// keptAnswer is a whole answer, for the ledger.
-type keptAnswer struct {
+// bufferedResponse is a response that was passed on, for the ledger. It is
+// empty unless complete is true.
+type bufferedResponse struct {
 	status      int
 	contentType string
 	body        []byte
-	whole       bool
+	complete    bool
 }
 
-func outcome(c *call, attempt string, a keptAnswer, fault *verdict.Error) ledger.Record {
-	rec := ledger.Record{Attempt: attempt, Stage: ledger.Answered}
-	if fault != nil && fault.Verdict == verdict.NotRun {
+// ledgerRecord returns what the ledger stores about a finished call.
+func ledgerRecord(c *call, attemptID string, response bufferedResponse, failure *verdict.Error) ledger.Record {
+	rec := ledger.Record{Attempt: attemptID, Stage: ledger.Answered}
+	if failure != nil && failure.Verdict == verdict.NotRun {
 		rec.Stage = ledger.Released
 		return rec
 	}
-	if fault != nil || c.broken {
+	if failure != nil || c.endedWithError {
 		rec.Stage = ledger.Begun
 		return rec
 	}
-	if a.whole && len(a.body) <= ledger.MaxAnswerBytes {
-		rec.Status = a.status
-		rec.Type = a.contentType
-		rec.Answer = append([]byte{}, a.body...)
+	if response.complete && len(response.body) <= ledger.MaxAnswerBytes {
+		rec.Status = response.status
+		rec.Type = response.contentType
+		rec.Answer = append([]byte{}, response.body...)
 	}
 	return rec
 }
 
-// run tries upstreams until one takes the call. Only a try that certainly did
-// not run is followed by another.
-func (s *Server) run(ctx context.Context, w http.ResponseWriter, c *call, d *desk) (keptAnswer, *verdict.Error) {
+// run sends the call to one upstream after another until one runs it. It tries
+// the next one only after an attempt that certainly did not run.
+func (s *Server) run(ctx context.Context, w http.ResponseWriter, c *call, d *dispatcher) (bufferedResponse, *verdict.Error) {
 	blocks := routing.Blocks(c.prompt)
-	tried := make(map[string]bool)
-	var last *verdict.Error
+	attempted := make(map[string]bool)
+	var lastFailure *verdict.Error
 	for {
-		up, ok := d.choose(clock.Now(), blocks, tried)
+		upstream, ok := d.choose(clock.Now(), blocks, attempted)
 		if !ok {
-			return keptAnswer{}, exhausted(last)
+			return bufferedResponse{}, attemptsExhausted(lastFailure)
 		}
-		if last != nil && !d.takeRetry() {
-			_ = d.end(clock.Now(), up.ID, false)
-			last.Code = codeRetryBudget
-			last.RetryAfter = refusedRetryAfter
-			return keptAnswer{}, last
+		if lastFailure != nil && !d.takeRetry() {
+			_ = d.recordEnd(clock.Now(), upstream.ID, false)
+			lastFailure.Code = codeRetryBudget
+			lastFailure.RetryAfter = refusedRetryAfter
+			return bufferedResponse{}, lastFailure
 		}
-		answer, fault := s.try(ctx, w, c, d, up)
-		s.noteEnd(c, d, up, fault)
-		if fault == nil || fault.Verdict != verdict.NotRun || ctx.Err() != nil {
-			return answer, fault
+		response, failure := s.sendTo(ctx, w, c, d, upstream)
+		s.recordEnd(c, d, upstream, failure)
+		if failure == nil || failure.Verdict != verdict.NotRun || ctx.Err() != nil {
+			return response, failure
 		}
-		tried[up.ID] = true
-		last = fault
+		attempted[upstream.ID] = true
+		lastFailure = failure
 	}
 }
 
-func exhausted(last *verdict.Error) *verdict.Error {
-	if last == nil {
-		return refused(&admission.Refusal{Reason: admission.NoUpstream, RetryAfter: upstreamRetryAfter})
+// attemptsExhausted returns the failure of a call that no further upstream can
+// take. lastFailure is nil if there was no attempt.
+func attemptsExhausted(lastFailure *verdict.Error) *verdict.Error {
+	if lastFailure == nil {
+		return refusalError(&admission.Refusal{Reason: admission.NoUpstream, RetryAfter: upstreamRetryAfter})
 	}
-	last.RetryAfter = refusedRetryAfter
-	return last
+	lastFailure.RetryAfter = refusedRetryAfter
+	return lastFailure
 }
 
-func (s *Server) noteEnd(c *call, d *desk, up view.Upstream, fault *verdict.Error) {
-	failed := c.broken || (fault != nil && fault.Code != relay.CodeRefused && fault.Code != relay.CodeDeadline)
-	ejected := d.end(clock.Now(), up.ID, failed)
-	if fault != nil {
-		c.trail.add("upstream %s: %s (%s)", up.ID, fault.Code, fault.Verdict)
+// recordEnd records the end of an attempt, and the ejection of its upstream if
+// there was one.
+func (s *Server) recordEnd(c *call, d *dispatcher, upstream view.Upstream, failure *verdict.Error) {
+	failed := c.endedWithError || (failure != nil && failure.Code != relay.CodeRefused && failure.Code != relay.CodeDeadline)
+	ejected := d.recordEnd(clock.Now(), upstream.ID, failed)
+	if failure != nil {
+		c.decisions.add("upstream %s: %s (%s)", upstream.ID, failure.Code, failure.Verdict)
 	}
 	if ejected {
 		s.metrics.Count("upstream.ejected", 1)
-		s.log.Emit(event.UpstreamEjected).Str("upstream", up.ID).Str("service", up.Service).Send()
+		s.log.Emit(event.UpstreamEjected).Str("upstream", upstream.ID).Str("service", upstream.Service).Send()
 	}
 }
 
-// try sends the call to one upstream and relays the answer.
-func (s *Server) try(ctx context.Context, w http.ResponseWriter, c *call, d *desk, up view.Upstream) (keptAnswer, *verdict.Error) {
+// sendTo sends the call to one upstream and relays the response.
+func (s *Server) sendTo(ctx context.Context, w http.ResponseWriter, c *call, d *dispatcher, upstream view.Upstream) (bufferedResponse, *verdict.Error) {
 	ctx, span := s.tracer.Start(ctx, "upstream", trace.SpanKindClient,
-		attribute.String("upstream", up.ID), attribute.String("address", up.Address))
+		attribute.String("upstream", upstream.ID), attribute.String("address", upstream.Address))
 	defer span.End()
-	c.trail.add("sent to %s at %s", up.ID, up.Address)
-	began := clock.Now()
-	resp, err := s.sender.Send(ctx, s.outgoing(ctx, c, d, up))
+	c.decisions.add("sent to %s at %s", upstream.ID, upstream.Address)
+	startedAt := clock.Now()
+	resp, err := s.sender.Send(ctx, s.outgoing(ctx, c, d, upstream))
 	if err != nil {
-		fault := verdict.As(err)
-		span.SetAttributes(attribute.String("verdict", fault.Verdict.String()))
-		return keptAnswer{}, fault
+		failure := verdict.As(err)
+		span.SetAttributes(attribute.String("verdict", failure.Verdict.String()))
+		return bufferedResponse{}, failure
 	}
 	defer func() { _ = resp.Body.Close() }()
-	s.metrics.Observe("upstream.first_byte", clock.Since(began))
-	defer func() { d.took(up.ID, clock.Since(began)) }()
+	s.metrics.Observe("upstream.first_byte", clock.Since(startedAt))
+	defer func() { d.recordDuration(upstream.ID, clock.Since(startedAt)) }()
 	if c.stream && resp.StatusCode == http.StatusOK {
-		return keptAnswer{}, s.relayStream(ctx, w, c, up.Address, resp)
+		return bufferedResponse{}, s.relayStream(ctx, w, c, upstream.Address, resp)
 	}
-	return s.relayWhole(w, c, resp)
+	return s.relayResponse(w, c, resp)
 }
 
-// outgoing builds the request for the upstream. Headers that are for this hop
-// only, and the caller's key, stay behind.
-func (s *Server) outgoing(ctx context.Context, c *call, d *desk, up view.Upstream) relay.Outgoing {
+// outgoing builds the request for the upstream. It leaves out the headers that
+// are for this hop only, and the caller's key.
+func (s *Server) outgoing(ctx context.Context, c *call, d *dispatcher, upstream view.Upstream) relay.Outgoing {
 	h := make(http.Header)
 	copyHeaders(h, c.header, requestHeaders)
 	s.tracer.Inject(ctx, h)
 	model := c.service.Kind == table.Model
 	if model {
 		h.Set(relay.PriorityHeader, priorityText(c.priority))
-		h.Set(relay.GroupHeader, up.ID)
-		h.Set(relay.GenerationHeader, generationText(up.Generation))
+		h.Set(relay.GroupHeader, upstream.ID)
+		h.Set(relay.GenerationHeader, generationText(upstream.Generation))
 	}
 	return relay.Outgoing{
-		Address:   up.Address,
+		Address:   upstream.Address,
 		Method:    c.method,
-		Path:      c.path,
+		Path:      c.upstreamPath,
 		Header:    h,
 		Body:      c.body,
 		RequestID: c.id,
-		Once:      c.once,
+		Once:      c.atMostOnce,
 		Echo:      model,
-		Observe:   func(status int, h http.Header) { s.observe(c, d, up, status, h) },
+		Observe:   func(status int, h http.Header) { s.observeBackoff(c, d, upstream, status, h) },
 	}
 }
 
-// observe takes what an answer says of the upstream's own condition.
-func (s *Server) observe(c *call, d *desk, up view.Upstream, status int, h http.Header) {
+// observeBackoff records the backoff that an upstream asks for in a response with
+// status 429 or 503.
+func (s *Server) observeBackoff(c *call, d *dispatcher, upstream view.Upstream, status int, h http.Header) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return
 	}
-	rest, err := relay.RetryAfter(h)
+	backoff, err := relay.RetryAfter(h)
 	if err != nil {
-		s.log.Emit(event.ConditionUnreadable).Str("vm", up.ID).Str("request", c.id).Err(err).Send()
+		s.log.Emit(event.ConditionUnreadable).Str("vm", upstream.ID).Str("request", c.id).Err(err).Send()
 	}
-	if rest <= 0 {
+	if backoff <= 0 {
 		return
 	}
-	d.rest(clock.Now(), up.ID, rest)
-	c.trail.add("upstream %s asked for %v of rest", up.ID, rest)
-	s.log.Emit(event.UpstreamResting).Str("vm", up.ID).Str("request", c.id).Int64("rest_ms", rest.Milliseconds()).Send()
+	d.recordBackoff(clock.Now(), upstream.ID, backoff)
+	c.decisions.add("upstream %s asked for %v of rest", upstream.ID, backoff)
+	s.log.Emit(event.UpstreamResting).Str("vm", upstream.ID).Str("request", c.id).Int64("rest_ms", backoff.Milliseconds()).Send()
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -24,27 +24,28 @@
 )
 
 const (
-	// maxResumes bounds how often one stream is resumed at its engine.
+	// maxResumes bounds the resumptions of one stream at its engine.
 	maxResumes = 3
-	// maxSpills bounds how many other entries are tried.
+	// maxSpills bounds the other entries that a call is sent to.
 	maxSpills = 2
-	// callerGrace is how long past the deadline a slow caller may read.
+	// callerGrace is how long after the deadline a slow caller may still read.
 	callerGrace = 5 * time.Second
-	// copyBuffer is the size of reads from another entry's answer, bytes.
-	copyBuffer = 32 << 10
-	// maxPendingBytes bounds an event of another entry's answer.
-	maxPendingBytes = 1 << 20
+	// copyBufferBytes is the size of reads from another entry's response.
+	copyBufferBytes = 32 << 10
+	// maxEventBytes bounds an event of another entry's response.
+	maxEventBytes = 1 << 20
 )
 
 // requestHeaders are passed on to upstreams.
 var requestHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Content-Language",
 	"If-Match", "If-None-Match", "If-Modified-Since", "Range", "User-Agent", KeyHeader}
 
-// answerHeaders are passed back to callers.
-var answerHeaders = []string{"Content-Type", "Content-Language", "Content-Disposition", "Content-Range",
+// responseHeaders are passed on to callers.
+var responseHeaders = []string{"Content-Type", "Content-Language", "Content-Disposition", "Content-Range",
 	"Accept-Ranges", "Cache-Control", "Etag", "Last-Modified", "Expires", "Location", "Vary",
 	verdict.Header, "Retry-After", RetryAfterMillisHeader, ReplayedHeader, relay.RequestIDHeader}
 
+// copyHeaders copies the named headers.
 func copyHeaders(into, from http.Header, names []string) {
 	for _, name := range names {
 		if values := from.Values(name); len(values) > 0 {
@@ -57,30 +58,32 @@
 
 func generationText(g uint64) string { return strconv.FormatUint(g, 10) }
 
-// relayWhole sends on an answer that is not a stream of events. Small answers
-// are read to their end first, so that a broken one is never sent on in part.
-func (s *Server) relayWhole(w http.ResponseWriter, c *call, resp *http.Response) (keptAnswer, *verdict.Error) {
-	if resp.ContentLength > maxKeptBody {
-		return keptAnswer{}, s.relayLarge(w, c, resp)
+// relayResponse passes on a response that is not a stream of events. It reads
+// those of up to maxBufferedBody completely first, so that an interrupted one is
+// never passed on in part.
+func (s *Server) relayResponse(w http.ResponseWriter, c *call, resp *http.Response) (bufferedResponse, *verdict.Error) {
+	if resp.ContentLength > maxBufferedBody {
+		return bufferedResponse{}, s.relayUnbuffered(w, c, resp)
 	}
-	body, err := relay.Whole(resp, maxKeptBody)
+	body, err := relay.Whole(resp, maxBufferedBody)
 	if err != nil {
-		return keptAnswer{}, verdict.As(err)
+		return bufferedResponse{}, verdict.As(err)
 	}
 	h := w.Header()
-	copyHeaders(h, resp.Header, answerHeaders)
+	copyHeaders(h, resp.Header, responseHeaders)
 	h.Set(relay.RequestIDHeader, c.id)
 	h.Set(verdict.Header, verdict.Ran.String())
 	w.WriteHeader(resp.StatusCode)
 	_, _ = w.Write(body)
-	return keptAnswer{status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), body: body, whole: true}, nil
+	return bufferedResponse{status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), body: body, complete: true}, nil
 }
 
-// relayLarge streams a long answer of known length; when it breaks off, the
-// caller's connection is broken too, so the caller sees that it is short.
-func (s *Server) relayLarge(w http.ResponseWriter, c *call, resp *http.Response) *verdict.Error {
+// relayUnbuffered passes on a large response of known length as it arrives. If
+// the response is interrupted, it aborts the caller's connection, so that the
+// caller detects the truncation.
+func (s *Server) relayUnbuffered(w http.ResponseWriter, c *call, resp *http.Response) *verdict.Error {
 	h := w.Header()
-	copyHeaders(h, resp.Header, answerHeaders)
+	copyHeaders(h, resp.Header, responseHeaders)
 	h.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	h.Set(relay.RequestIDHeader, c.id)
 	h.Set(verdict.Header, verdict.Ran.String())
@@ -92,16 +95,18 @@
 	return nil
 }
 
-// relayStream relays a run's events, resuming the same run when the
-// connection to the engine breaks. It never splices two runs. After the first
-// byte has gone out a failure ends the stream with an error event.
+// relayStream relays a run's events and resumes the same run when the
+// connection to the engine breaks. It never joins the events of two runs into
+// one stream. Once the first byte was sent, a failure ends the stream with an
+// error event.
 func (s *Server) relayStream(ctx context.Context, w http.ResponseWriter, c *call, address string, resp *http.Response) *verdict.Error {
 	run := resp.Header.Get(relay.RunIDHeader)
-	id := eventID{failureDomain: s.config.FailureDomain, vm: s.vmOf(address), run: run}
-	return s.pump(ctx, w, c, id, address, resp)
+	id := eventID{failureDomain: s.config.FailureDomain, vm: s.vmAt(address), run: run}
+	return s.relayEvents(ctx, w, c, id, address, resp)
 }
 
-func (s *Server) vmOf(address string) string {
+// vmAt returns the name of the VM at the address; empty if there is none.
+func (s *Server) vmAt(address string) string {
 	for name, m := range s.source.Snapshot().Members {
 		if m.Address == address {
 			return name
@@ -110,45 +115,47 @@
 	return ""
 }
 
-func (s *Server) pump(ctx context.Context, w http.ResponseWriter, c *call, id eventID, address string, resp *http.Response) *verdict.Error {
-	control := http.NewResponseController(w)
-	_ = control.SetWriteDeadline(time.Now().Add(clock.Until(c.deadline) + callerGrace))
+// relayEvents sends the events of resp to the caller and resumes the run up to
+// maxResumes times.
+func (s *Server) relayEvents(ctx context.Context, w http.ResponseWriter, c *call, id eventID, address string, resp *http.Response) *verdict.Error {
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(time.Now().Add(clock.Until(c.deadline) + callerGrace))
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	h.Set(relay.RequestIDHeader, c.id)
 	w.WriteHeader(http.StatusOK)
-	stream := relay.NewStream(w, control.Flush, id.prefix(), id.sequence)
+	stream := relay.NewStream(w, controller.Flush, id.prefix(), id.sequence)
 	defer func() { s.metrics.Count("stream.events", int64(stream.Events())) }()
 	body := resp.Body
 	for resumes := 0; ; resumes++ {
 		done, err := stream.Copy(body)
 		_ = body.Close()
 		if done {
-			c.trail.add("stream complete after event %d", stream.Last())
+			c.decisions.add("stream complete after event %d", stream.Last())
 			return nil
 		}
 		if errors.Is(err, relay.ErrCallerGone) {
-			c.trail.add("caller left after event %d", stream.Last())
+			c.decisions.add("caller left after event %d", stream.Last())
 			return nil
 		}
 		s.log.Emit(event.StreamBroken).Str("request", c.id).Uint64("after", stream.Last()).Err(err).Send()
 		if resumes == maxResumes || id.run == "" || ctx.Err() != nil {
-			return s.endStream(ctx, w, control, c, id, address, err)
+			return s.endStreamWithError(ctx, w, controller, c, id, address, err)
 		}
-		next, err := s.sender.Resume(ctx, address, id.run, c.id, stream.Last())
+		resumed, err := s.sender.Resume(ctx, address, id.run, c.id, stream.Last())
 		if err != nil {
-			return s.endStream(ctx, w, control, c, id, address, err)
+			return s.endStreamWithError(ctx, w, controller, c, id, address, err)
 		}
-		c.trail.add("resumed after event %d", stream.Last())
-		body = next.Body
+		c.decisions.add("resumed after event %d", stream.Last())
+		body = resumed.Body
 	}
 }
 
-// endStream writes the error event that ends a stream. The answer has begun,
-// so nil is returned: nothing else may be written.
-func (s *Server) endStream(ctx context.Context, w http.ResponseWriter, control *http.ResponseController, c *call, id eventID, address string, cause error) *verdict.Error {
-	fault := &verdict.Error{
+// endStreamWithError writes the error event that ends a stream. It returns nil,
+// as the response has started and nothing else may be written.
+func (s *Server) endStreamWithError(ctx context.Context, w http.ResponseWriter, controller *http.ResponseController, c *call, id eventID, address string, cause error) *verdict.Error {
+	failure := &verdict.Error{
 		Verdict: verdict.MayHaveRun,
 		Status:  http.StatusBadGateway,
 		Code:    relay.CodeBroken,
@@ -156,15 +163,15 @@
 		Cause:   cause,
 	}
 	if ctx.Err() != nil {
-		fault.Code = relay.CodeDeadline
-		fault.Detail = "the deadline passed or this entry had to stop before the stream ended"
+		failure.Code = relay.CodeDeadline
+		failure.Detail = "the deadline passed or this entry had to stop before the stream ended"
 		s.cancelRun(c, id, address)
 	}
-	c.broken = true
-	c.trail.add("stream ended by an error event: %s", fault.Code)
-	_, _ = w.Write(errorEvent(c.id, fault))
-	_ = control.Flush()
-	s.failed(c, fault)
+	c.endedWithError = true
+	c.decisions.add("stream ended by an error event: %s", failure.Code)
+	_, _ = w.Write(errorEvent(c.id, failure))
+	_ = controller.Flush()
+	s.recordFailure(c, failure)
 	return nil
 }
 
@@ -178,27 +185,28 @@
 	s.sender.Cancel(ctx, address, id.run, c.id)
 }
 
-// resume joins a caller to the run that it lost.
+// resume connects a caller again to the run whose stream it lost.
 func (s *Server) resume(ctx context.Context, w http.ResponseWriter, c *call, snapshot *view.Snapshot) *verdict.Error {
-	if c.last.failureDomain != s.config.FailureDomain {
-		if c.hop {
-			return badInput(http.StatusNotFound, codeNotFound, "the run is in another failure domain")
+	if c.lastEvent.failureDomain != s.config.FailureDomain {
+		if c.forwarded {
+			return invalidInput(http.StatusNotFound, codeNotFound, "the run is in another failure domain")
 		}
-		return s.spill(ctx, w, c, "run is in "+c.last.failureDomain)
+		return s.spill(ctx, w, c, "run is in "+c.lastEvent.failureDomain)
 	}
-	member, ok := snapshot.Members[c.last.vm]
+	member, ok := snapshot.Members[c.lastEvent.vm]
 	if !ok {
-		return lostRun(errors.New("VM is not in the membership list"))
+		return lostRunError(errors.New("VM is not in the membership list"))
 	}
-	resp, err := s.sender.Resume(ctx, member.Address, c.last.run, c.id, c.last.sequence)
+	resp, err := s.sender.Resume(ctx, member.Address, c.lastEvent.run, c.id, c.lastEvent.sequence)
 	if err != nil {
-		return lostRun(err)
+		return lostRunError(err)
 	}
-	c.trail.add("joined run %s at %s after event %d", c.last.run, c.last.vm, c.last.sequence)
-	return s.pump(ctx, w, c, c.last, member.Address, resp)
+	c.decisions.add("joined run %s at %s after event %d", c.lastEvent.run, c.lastEvent.vm, c.lastEvent.sequence)
+	return s.relayEvents(ctx, w, c, c.lastEvent, member.Address, resp)
 }
 
-func lostRun(cause error) *verdict.Error {
+// lostRunError returns the failure of a call whose run can't be resumed.
+func lostRunError(cause error) *verdict.Error {
 	return &verdict.Error{
 		Verdict: verdict.MayHaveRun,
 		Status:  http.StatusGone,
@@ -208,53 +216,55 @@
 	}
 }
 
-// spillOrFail tries another failure domain for a call that is refused here
-// for want of room, never for the caller's own limits.
-func (s *Server) spillOrFail(ctx context.Context, w http.ResponseWriter, c *call, fault *verdict.Error) *verdict.Error {
-	switch fault.Code {
+// spillOrFail sends a call to another failure domain if this entry refused it
+// for lack of capacity. It doesn't for refusals by the caller's own limits.
+func (s *Server) spillOrFail(ctx context.Context, w http.ResponseWriter, c *call, failure *verdict.Error) *verdict.Error {
+	switch failure.Code {
 	case string(admission.QueueFull), string(admission.NoUpstream):
 	default:
-		return fault
+		return failure
 	}
-	if c.hop || ctx.Err() != nil {
-		return fault
+	if c.forwarded || ctx.Err() != nil {
+		return failure
 	}
-	spilled := s.spill(ctx, w, c, fault.Code)
+	spilled := s.spill(ctx, w, c, failure.Code)
 	if spilled != nil && spilled.Verdict == verdict.NotRun {
-		return fault
+		return failure
 	}
 	return spilled
 }
 
-// spill hands the call to an entry of another failure domain, one hop at most.
-func (s *Server) spill(ctx context.Context, w http.ResponseWriter, c *call, why string) *verdict.Error {
-	last := refused(&admission.Refusal{Reason: admission.NoUpstream, RetryAfter: upstreamRetryAfter})
+// spill forwards the call to an entry of another failure domain, which doesn't
+// forward it again.
+func (s *Server) spill(ctx context.Context, w http.ResponseWriter, c *call, reason string) *verdict.Error {
+	lastFailure := refusalError(&admission.Refusal{Reason: admission.NoUpstream, RetryAfter: upstreamRetryAfter})
 	for i, peer := range s.spillTargets(c) {
 		if i == maxSpills {
 			break
 		}
-		c.trail.add("spilled to %s: %s", peer.ID, why)
+		c.decisions.add("spilled to %s: %s", peer.ID, reason)
 		s.metrics.Count("request.spilled", 1)
-		fault := s.spillTo(ctx, w, c, peer)
-		if fault == nil || fault.Verdict != verdict.NotRun || ctx.Err() != nil {
-			return fault
+		failure := s.spillTo(ctx, w, c, peer)
+		if failure == nil || failure.Verdict != verdict.NotRun || ctx.Err() != nil {
+			return failure
 		}
-		c.trail.add("%s: %s", peer.ID, fault.Code)
-		last = fault
-		last.RetryAfter = max(last.RetryAfter, refusedRetryAfter)
+		c.decisions.add("%s: %s", peer.ID, failure.Code)
+		lastFailure = failure
+		lastFailure.RetryAfter = max(lastFailure.RetryAfter, refusedRetryAfter)
 	}
-	return last
+	return lastFailure
 }
 
-// spillTargets lists entries of other failure domains, in an order that
-// spreads requests over them. A resumed call goes to its run's failure domain.
+// spillTargets lists the entries of other failure domains in an order that
+// spreads requests over them. For a resumed call it lists only those in the
+// failure domain of its run.
 func (s *Server) spillTargets(c *call) []node.Record {
 	var out []node.Record
 	for _, rec := range s.source.Snapshot().Nodes {
 		if rec.EntryPeer == "" || rec.FailureDomain == s.config.FailureDomain {
 			continue
 		}
-		if !c.last.zero() && rec.FailureDomain != c.last.failureDomain {
+		if !c.lastEvent.isZero() && rec.FailureDomain != c.lastEvent.failureDomain {
 			continue
 		}
 		out = append(out, rec)
@@ -265,6 +275,7 @@
 	return out
 }
 
+// spillTo forwards the call to one entry and relays the response.
 func (s *Server) spillTo(ctx context.Context, w http.ResponseWriter, c *call, peer node.Record) *verdict.Error {
 	ctx, span := s.tracer.Start(ctx, "spill", trace.SpanKindClient, attribute.String("peer", peer.ID))
 	defer span.End()
@@ -278,11 +289,11 @@
 	resp, err := s.sender.Send(ctx, relay.Outgoing{
 		Address:   peer.EntryPeer,
 		Method:    c.method,
-		Path:      c.callerPath(),
+		Path:      c.entryPath(),
 		Header:    h,
 		Body:      c.body,
 		RequestID: c.id,
-		Once:      c.once,
+		Once:      c.atMostOnce,
 		Peer:      true,
 		Echo:      true,
 	})
@@ -290,42 +301,44 @@
 		return verdict.As(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if fault := peerFault(resp); fault != nil {
-		return fault
+	if failure := peerRefusal(resp); failure != nil {
+		return failure
 	}
-	return s.passOn(w, c, resp)
+	return s.relayPeerResponse(w, c, resp)
 }
 
-// peerFault reads a refusal by the other entry that this one may act on.
-func peerFault(resp *http.Response) *verdict.Error {
+// peerRefusal returns the refusal in the response of another entry if this
+// entry may try the next one; otherwise nil.
+func peerRefusal(resp *http.Response) *verdict.Error {
 	if resp.StatusCode != http.StatusServiceUnavailable || verdict.Parse(resp.Header.Get(verdict.Header)) != verdict.NotRun {
 		return nil
 	}
-	after, _ := strconv.ParseInt(resp.Header.Get(RetryAfterMillisHeader), 10, 64)
+	retryAfterMillis, _ := strconv.ParseInt(resp.Header.Get(RetryAfterMillisHeader), 10, 64)
 	return &verdict.Error{
 		Verdict:    verdict.NotRun,
 		Status:     http.StatusServiceUnavailable,
 		Code:       codeNoUpstream,
 		Detail:     "the other failure domains can't take the request now either",
-		RetryAfter: time.Duration(after) * time.Millisecond,
+		RetryAfter: time.Duration(retryAfterMillis) * time.Millisecond,
 	}
 }
 
-// passOn sends the other entry's answer to the caller as it comes.
-func (s *Server) passOn(w http.ResponseWriter, c *call, resp *http.Response) *verdict.Error {
+// relayPeerResponse sends the other entry's response to the caller; a stream of
+// events is sent as it arrives.
+func (s *Server) relayPeerResponse(w http.ResponseWriter, c *call, resp *http.Response) *verdict.Error {
 	if resp.Header.Get("Content-Type") != "text/event-stream" {
-		body, err := relay.Whole(resp, maxKeptBody)
+		body, err := relay.Whole(resp, maxBufferedBody)
 		if err != nil {
 			return verdict.As(err)
 		}
-		copyHeaders(w.Header(), resp.Header, answerHeaders)
+		copyHeaders(w.Header(), resp.Header, responseHeaders)
 		w.WriteHeader(resp.StatusCode)
 		_, _ = w.Write(body)
 		return nil
 	}
-	copyHeaders(w.Header(), resp.Header, answerHeaders)
+	copyHeaders(w.Header(), resp.Header, responseHeaders)
 	w.WriteHeader(resp.StatusCode)
-	s.passStream(w, c, resp.Body)
+	s.relayPeerStream(w, c, resp.Body)
 	return nil
 }
 
@@ -335,25 +348,25 @@
 	errorStart = []byte("event: error\n")
 )
 
-// passStream copies the other entry's events, whole ones only, and makes sure
-// that the stream ends with its terminal event or an error event.
-func (s *Server) passStream(w http.ResponseWriter, c *call, body io.Reader) {
-	control := http.NewResponseController(w)
-	_ = control.SetWriteDeadline(time.Now().Add(clock.Until(c.deadline) + callerGrace))
-	buf := make([]byte, copyBuffer)
+// relayPeerStream copies the other entry's events, complete ones only. It ends
+// the stream with an error event if the final event doesn't arrive.
+func (s *Server) relayPeerStream(w http.ResponseWriter, c *call, body io.Reader) {
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(time.Now().Add(clock.Until(c.deadline) + callerGrace))
+	buf := make([]byte, copyBufferBytes)
 	var pending []byte
 	ended := false
-	for len(pending) < maxPendingBytes {
+	for len(pending) < maxEventBytes {
 		n, err := body.Read(buf)
 		pending = append(pending, buf[:n]...)
-		if whole := bytes.LastIndex(pending, eventEnd) + len(eventEnd); whole >= len(eventEnd) {
-			events := pending[:whole]
+		if complete := bytes.LastIndex(pending, eventEnd) + len(eventEnd); complete >= len(eventEnd) {
+			events := pending[:complete]
 			ended = ended || bytes.HasSuffix(events, doneEvent) || bytes.Contains(events, errorStart)
 			if _, err := w.Write(events); err != nil {
 				return
 			}
-			_ = control.Flush()
-			pending = append(pending[:0], pending[whole:]...)
+			_ = controller.Flush()
+			pending = append(pending[:0], pending[complete:]...)
 		}
 		if err != nil {
 			break
@@ -362,13 +375,13 @@
 	if ended {
 		return
 	}
-	fault := &verdict.Error{
+	failure := &verdict.Error{
 		Verdict: verdict.MayHaveRun,
 		Status:  http.StatusBadGateway,
 		Code:    relay.CodeBroken,
 		Detail:  "the stream from the other failure domain broke off",
 	}
-	_, _ = w.Write(errorEvent(c.id, fault))
-	_ = control.Flush()
-	s.failed(c, fault)
+	_, _ = w.Write(errorEvent(c.id, failure))
+	_ = controller.Flush()
+	s.recordFailure(c, failure)
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -12,44 +12,47 @@
 // demandSmoothing is the weight of the newest interval in the demand average.
 const demandSmoothing = 0.2
 
-// leastInterval is the shortest time over which demand is measured.
-const leastInterval = 100 * time.Millisecond
+// minDemandInterval is the shortest time over which demand is measured.
+const minDemandInterval = 100 * time.Millisecond
 
-// meter measures one subject's demand, served or not.
-type meter struct {
+// demandMeter measures the demand of one limit subject: its requests, served or
+// not.
+type demandMeter struct {
+	// count counts the requests since the last measurement.
 	count int
-	rate  float64
+	// rate is the smoothed demand in requests per second.
+	rate float64
 }
 
-// limits holds the teams' limits at this entry. mu guards all fields.
-type limits struct {
-	mu       sync.Mutex
-	limiter  *admission.Limiter
-	meters   map[string]*meter
-	measured time.Time
+// teamLimits enforces the teams' limits at this entry. mu guards all fields.
+type teamLimits struct {
+	mu         sync.Mutex
+	limiter    *admission.Limiter
+	meters     map[string]*demandMeter
+	measuredAt time.Time
 }
 
-func newLimits(now time.Time) *limits {
-	return &limits{
-		limiter:  admission.NewLimiter(),
-		meters:   make(map[string]*meter),
-		measured: now,
+func newTeamLimits(now time.Time) *teamLimits {
+	return &teamLimits{
+		limiter:    admission.NewLimiter(),
+		meters:     make(map[string]*demandMeter),
+		measuredAt: now,
 	}
 }
 
-// subject is one limited thing: a team, or a team at a service.
-type subject struct {
+// limitSubject is what a limit applies to: a team, or a team at one service.
+type limitSubject struct {
 	name  string
 	limit admission.Limit
 }
 
-// subjects lists the limits that hold for the call. rate turns a limit over
-// all entries into this entry's share.
-func subjects(c *call, snapshot *view.Snapshot, share *Share) []subject {
-	out := []subject{{
+// limitSubjects lists the limits that apply to the call. Rates are this entry's
+// share of the limit over all entries.
+func limitSubjects(c *call, snapshot *view.Snapshot, share *Share) []limitSubject {
+	out := []limitSubject{{
 		name: c.team.Name,
 		limit: admission.Limit{
-			Rate:        share.of(c.team.Name, c.team.Rate),
+			Rate:        share.localRate(c.team.Name, c.team.Rate),
 			Concurrency: c.team.Concurrency,
 		},
 	}}
@@ -58,15 +61,15 @@
 		return out
 	}
 	name := view.LimitSubject(c.team.Name, c.service.Name)
-	return append(out, subject{
+	return append(out, limitSubject{
 		name:  name,
-		limit: admission.Limit{Rate: share.of(name, row.Rate), Concurrency: row.Concurrency},
+		limit: admission.Limit{Rate: share.localRate(name, row.Rate), Concurrency: row.Concurrency},
 	})
 }
 
-// of returns this entry's share of a limit; an equal part while control has
-// not said.
-func (s *Share) of(name string, limit float64) float64 {
+// localRate returns this entry's share of a rate limit: the one that control
+// assigned, or an equal part if there is none.
+func (s *Share) localRate(name string, limit float64) float64 {
 	if limit <= 0 {
 		return 0
 	}
@@ -76,43 +79,45 @@
 	return limit / float64(s.AllEntries)
 }
 
-// take charges the call to all its subjects, or to none.
-func (l *limits) take(now time.Time, all []subject) *admission.Refusal {
+// acquire charges the call to all its subjects, or to none if one refuses it.
+func (l *teamLimits) acquire(now time.Time, subjects []limitSubject) *admission.Refusal {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range all {
-		l.count(s)
+	for _, s := range subjects {
+		l.countDemand(s)
 	}
-	for i, s := range all {
+	for i, s := range subjects {
 		refusal := l.limiter.Take(now, s.name, s.limit)
 		if refusal == nil {
 			continue
 		}
-		for _, taken := range all[:i] {
-			l.limiter.Refund(now, taken.name)
+		for _, acquired := range subjects[:i] {
+			l.limiter.Refund(now, acquired.name)
 		}
 		return refusal
 	}
 	return nil
 }
 
-func (l *limits) count(s subject) {
+// countDemand counts a request as demand of a subject with a rate limit.
+func (l *teamLimits) countDemand(s limitSubject) {
 	if s.limit.Rate <= 0 {
 		return
 	}
 	m := l.meters[s.name]
 	if m == nil {
-		m = &meter{}
+		m = &demandMeter{}
 		l.meters[s.name] = m
 	}
 	m.count++
 }
 
-// done ends a call; refund also gives its rate back, as it was refused later.
-func (l *limits) done(now time.Time, all []subject, refund bool) {
+// release ends a call that was charged. With refund it also returns the charge
+// to the rate limits, as the call was refused later.
+func (l *teamLimits) release(now time.Time, subjects []limitSubject, refund bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range all {
+	for _, s := range subjects {
 		if refund {
 			l.limiter.Refund(now, s.name)
 			continue
@@ -121,22 +126,22 @@
 	}
 }
 
-// demand returns the smoothed demand of each rate-limited subject.
-func (l *limits) demand(now time.Time) []*marbleroadv1.TeamDemand {
+// demand returns the smoothed demand of each subject with a rate limit.
+func (l *teamLimits) demand(now time.Time) []*marbleroadv1.TeamDemand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	elapsed := now.Sub(l.measured)
+	elapsed := now.Sub(l.measuredAt)
 	var out []*marbleroadv1.TeamDemand
 	for name, m := range l.meters {
-		if elapsed >= leastInterval {
+		if elapsed >= minDemandInterval {
 			newest := float64(m.count) / elapsed.Seconds()
 			m.rate += demandSmoothing * (newest - m.rate)
 			m.count = 0
 		}
 		out = append(out, &marbleroadv1.TeamDemand{Team: name, Rate: m.rate})
 	}
-	if elapsed >= leastInterval {
-		l.measured = now
+	if elapsed >= minDemandInterval {
+		l.measuredAt = now
 	}
 	return out
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,9 +1,9 @@
-// Package entry serves callers: it admits their requests in order of worth,
-// picks the upstream and relays the answer.
+// Package entry serves callers: it admits their requests in priority order,
+// selects the upstream and relays the response.
 //
-// Concurrency: one goroutine (Source) owns what comes from control; requests
-// run on net/http's goroutines and read immutable snapshots. A desk per
-// service holds admission and routing under a short lock.
+// Concurrency: one goroutine (Source) owns what is read from control; requests
+// run on net/http's goroutines and read immutable snapshots. A dispatcher per
+// service holds admission and routing state under a lock that is held briefly.
 package entry
 
 import (
@@ -48,9 +48,11 @@
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 120 * time.Second
 	maxHeaderBytes    = 64 << 10
-	// closeLimit bounds what a stop does after the last answer.
-	closeLimit = 2 * time.Second
-	// stoppingRetryAfter sends callers to another entry behind the balancer.
+	// closeTimeout bounds the flush of the ledger after the last response, and
+	// the closing of the connections in addition to Linger.
+	closeTimeout = 2 * time.Second
+	// stoppingRetryAfter is the retry delay during a stop: short, as the balancer
+	// sends the retry to another entry.
 	stoppingRetryAfter = 100 * time.Millisecond
 )
 
@@ -62,7 +64,7 @@
 	servicesPrefix = "/services/"
 )
 
-// Config holds what the server needs to know.
+// Config holds the server's settings.
 type Config struct {
 	NodeID        string
 	FailureDomain string
@@ -72,7 +74,8 @@
 	MaxBody       int64
 	BalancerDelay time.Duration
 	ShutdownLimit time.Duration
-	// Linger is how long a stop then keeps connections without a request.
+	// Linger is how long a stop keeps connections without a request open after
+	// the last response.
 	Linger time.Duration
 	// CallerTLS is nil for plain HTTP.
 	CallerTLS *tls.Config
@@ -80,28 +83,29 @@
 
 // Server serves callers.
 type Server struct {
-	config  Config
-	log     *event.Logger
-	metrics *metrics.Registry
-	tracer  *tracing.Tracer
-	peers   *transport.Peers
-	source  *Source
-	sender  *relay.Sender
-	ledger  *ledger.Ledger
-	limits  *limits
-	trails  *trails
-
-	mu    sync.Mutex
-	desks map[string]*desk
+	config       Config
+	log          *event.Logger
+	metrics      *metrics.Registry
+	tracer       *tracing.Tracer
+	peers        *transport.Peers
+	source       *Source
+	sender       *relay.Sender
+	ledger       *ledger.Ledger
+	limits       *teamLimits
+	decisionLogs *decisionLogs
+
+	mu          sync.Mutex
+	dispatchers map[string]*dispatcher
 
 	stopping atomic.Bool
 	refusing atomic.Bool
 	inFlight sync.WaitGroup
-	// flight guards inFlight against Add after Wait.
-	flight sync.RWMutex
-	// hard ends every call at once; set when waiting has been long enough.
-	hard       context.Context
-	cancelHard context.CancelFunc
+	// inFlightMu keeps inFlight.Add from being called after inFlight.Wait.
+	inFlightMu sync.RWMutex
+	// abortCtx ends all calls when it is cancelled, at the end of the time that
+	// a stop waits for them.
+	abortCtx   context.Context
+	abortCalls context.CancelFunc
 
 	callers *callers.Server
 	peer    *callers.Server
@@ -116,22 +120,22 @@
 	Ledger  *ledger.Ledger
 }
 
-// NewServer returns a server; it finds its source by name.
+// NewServer returns a server. Provision looks up its Source by name.
 func NewServer(c Config, p Parts) *Server {
-	hard, cancel := context.WithCancel(context.Background())
+	abortCtx, cancel := context.WithCancel(context.Background())
 	return &Server{
-		config:     c,
-		log:        p.Log,
-		metrics:    p.Metrics,
-		tracer:     p.Tracer,
-		peers:      p.Peers,
-		sender:     relay.NewSender(transport.Dialer(c.Peer), p.Peers.TLS()),
-		ledger:     p.Ledger,
-		limits:     newLimits(clock.Now()),
-		trails:     newTrails(),
-		desks:      make(map[string]*desk),
-		hard:       hard,
-		cancelHard: cancel,
+		config:       c,
+		log:          p.Log,
+		metrics:      p.Metrics,
+		tracer:       p.Tracer,
+		peers:        p.Peers,
+		sender:       relay.NewSender(transport.Dialer(c.Peer), p.Peers.TLS()),
+		ledger:       p.Ledger,
+		limits:       newTeamLimits(clock.Now()),
+		decisionLogs: newDecisionLogs(),
+		dispatchers:  make(map[string]*dispatcher),
+		abortCtx:     abortCtx,
+		abortCalls:   cancel,
 	}
 }
 
@@ -153,22 +157,24 @@
 	s.callers = callers.NewServer(&http.Server{
 		Handler:           s.handler(),
 		ReadHeaderTimeout: readHeaderTimeout,
-		// No ReadTimeout: it would also cancel requests whose answer outlasts it.
+		// There is no ReadTimeout: it would also cancel requests whose response
+		// takes longer.
 		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
 		TLSConfig:      s.config.CallerTLS,
-	}, listener, callers.Options{Unanswered: s.unanswered})
+	}, listener, callers.Options{Unanswered: s.recordUnanswered})
 	go s.serveCallers()
 	mux := http.NewServeMux()
 	mux.Handle(marbleroadv1connect.NewEntryServiceHandler(explainer{s}))
-	inner := s.handler()
+	callerHandler := s.handler()
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		inner.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), peerKey{}, true)))
+		callerHandler.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), peerContextKey{}, true)))
 	})
 	s.peer, err = s.peers.Serve(s.config.Peer, mux)
 	return err
 }
 
+// serveCallers serves the callers' listener until it is closed.
 func (s *Server) serveCallers() {
 	serve := s.callers.Serve
 	if s.config.CallerTLS != nil {
@@ -179,13 +185,15 @@
 	}
 }
 
-// unanswered tells of a connection that ended with a request that was read and not handled.
-func (s *Server) unanswered(caller net.Addr) {
+// recordUnanswered counts and logs a connection that ended with a request that
+// was read but not handled.
+func (s *Server) recordUnanswered(caller net.Addr) {
 	s.metrics.Count("requests.unanswered", 1)
 	s.log.Emit(event.RequestUnanswered).Stringer("caller", caller).Bool("stopping", s.stopping.Load()).Send()
 }
 
-// Ready says whether the balancer may send callers here.
+// Ready reports whether the balancer may send requests to this entry, and if
+// not, why.
 func (s *Server) Ready() (bool, string) {
 	switch {
 	case s.stopping.Load():
@@ -196,42 +204,44 @@
 	return true, ""
 }
 
-// Stop implements kernel.Service: not ready, wait for the balancer, refuse new
-// work, finish what is in flight, stop. When ctx ends first, or the limit is
-// reached, open streams end with an error event.
+// Stop implements kernel.Service: it reports not ready, waits for the balancer,
+// refuses new requests, waits for those in flight and closes the listeners.
+// When ctx ends or the shutdown limit is reached first, it ends open streams
+// with an error event.
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	wait.Sleep(ctx, s.config.BalancerDelay)
-	s.flight.Lock()
+	s.inFlightMu.Lock()
 	s.refusing.Store(true)
-	s.flight.Unlock()
-	done := make(chan struct{})
+	s.inFlightMu.Unlock()
+	finished := make(chan struct{})
 	go func() {
 		s.inFlight.Wait()
-		close(done)
+		close(finished)
 	}()
 	limit := time.NewTimer(s.config.ShutdownLimit)
 	defer limit.Stop()
 	select {
-	case <-done:
+	case <-finished:
 	case <-limit.C:
 		s.log.Emit(event.StopLimit).Send()
 	case <-ctx.Done():
 	}
-	s.cancelHard()
-	<-done
-	flushing, cancelFlush := context.WithTimeout(context.Background(), closeLimit)
+	s.abortCalls()
+	<-finished
+	flushCtx, cancelFlush := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancelFlush()
-	// What came of keyed requests, so that their retries get the answers.
-	s.ledger.Flush(flushing)
-	closing, cancel := context.WithTimeout(context.Background(), s.config.Linger+closeLimit)
+	// Stores the outcomes of requests with a key, so that their retries get the
+	// responses.
+	s.ledger.Flush(flushCtx)
+	closeCtx, cancel := context.WithTimeout(context.Background(), s.config.Linger+closeTimeout)
 	defer cancel()
-	// What is read meanwhile is refused, in an answer.
-	err := s.callers.Drain(closing, s.config.Linger)
+	// Requests that are read meanwhile get a response that refuses them.
+	err := s.callers.Drain(closeCtx, s.config.Linger)
 	if err != nil {
 		s.log.Emit(event.StopLimit).Int("connections", s.callers.Open()).Err(err).Send()
 	}
-	return errors.CombineErrors(s.callers.Close(), s.peer.Stop(closing))
+	return errors.CombineErrors(s.callers.Close(), s.peer.Stop(closeCtx))
 }
 
 // demand implements viewListener.
@@ -241,12 +251,12 @@
 func (s *Server) update(snapshot *view.Snapshot, share *Share) {
 	now := clock.Now()
 	for name, service := range snapshot.Services {
-		s.desk(name).update(now, service, share.LiveEntries)
+		s.dispatcher(name).update(now, service, share.LiveEntries)
 	}
 	running, waiting := 0, 0
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, d := range s.desks {
+	for name, d := range s.dispatchers {
 		if _, ok := snapshot.Services[name]; !ok {
 			d.update(now, view.Service{}, 1)
 		}
@@ -258,35 +268,38 @@
 	s.metrics.Set("requests.waiting", int64(waiting))
 }
 
-func (s *Server) desk(service string) *desk {
+// dispatcher returns the dispatcher of a service, and creates it if there is
+// none.
+func (s *Server) dispatcher(service string) *dispatcher {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.desks[service]
+	d := s.dispatchers[service]
 	if d == nil {
-		d = newDesk()
-		s.desks[service] = d
+		d = newDispatcher()
+		s.dispatchers[service] = d
 	}
 	return d
 }
 
+// handler returns the handler of the callers' protocol.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+chatPath, s.handle(s.model))
-	mux.HandleFunc("POST "+completionPath, s.handle(s.model))
-	mux.HandleFunc("GET "+modelsPath, s.handle(s.models))
-	mux.HandleFunc(servicesPrefix, s.handle(s.plain))
+	mux.HandleFunc("POST "+chatPath, s.handle(s.handleModel))
+	mux.HandleFunc("POST "+completionPath, s.handle(s.handleModel))
+	mux.HandleFunc("GET "+modelsPath, s.handle(s.listModels))
+	mux.HandleFunc(servicesPrefix, s.handle(s.handlePlain))
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		fault := badInput(http.StatusNotFound, codeNotFound, "there is nothing at "+r.Method+" "+r.URL.Path)
-		s.log.Emit(event.BadInput).Str("code", fault.Code).Str("path", r.URL.Path).Send()
-		writeError(w, newRequestID(), strings.HasPrefix(r.URL.Path, "/v1/"), fault)
+		failure := invalidInput(http.StatusNotFound, codeNotFound, "there is nothing at "+r.Method+" "+r.URL.Path)
+		s.log.Emit(event.BadInput).Str("code", failure.Code).Str("path", r.URL.Path).Send()
+		writeError(w, newRequestID(), strings.HasPrefix(r.URL.Path, "/v1/"), failure)
 	})
-	return endChunked(mux)
+	return closeAfterChunked(mux)
 }
 
-// endChunked ends the connection of a request in chunks with its answer. If the request named a
-// length too, net/http has dropped that, and what another reader takes for the body would be
-// served next; callers of the APIs here name a length.
-func endChunked(next http.Handler) http.Handler {
+// closeAfterChunked closes the connection after the response to a chunked request. If the request
+// has a Content-Length too, net/http drops that, and what an intermediary treats as the body would be
+// served as the next request (request smuggling). Callers of these APIs send a Content-Length.
+func closeAfterChunked(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if len(r.TransferEncoding) > 0 {
 			w.Header().Set("Connection", "close")
@@ -295,13 +308,14 @@
 	})
 }
 
-// step handles one kind of call after authentication.
-type step func(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error
+// callHandler handles one kind of call after authentication.
+type callHandler func(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error
 
-// enter counts a request in, unless the entry refuses new work.
-func (s *Server) enter() bool {
-	s.flight.RLock()
-	defer s.flight.RUnlock()
+// beginRequest counts a request as in flight and returns true, unless the entry
+// refuses new requests.
+func (s *Server) beginRequest() bool {
+	s.inFlightMu.RLock()
+	defer s.inFlightMu.RUnlock()
 	if s.refusing.Load() {
 		return false
 	}
@@ -309,40 +323,41 @@
 	return true
 }
 
-// handle wraps a step with what all calls have in common.
-func (s *Server) handle(next step) http.HandlerFunc {
+// handle wraps a callHandler with what all calls have in common.
+func (s *Server) handle(next callHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		openAI := strings.HasPrefix(r.URL.Path, "/v1/")
-		if !s.enter() {
+		if !s.beginRequest() {
 			w.Header().Set("Connection", "close")
-			writeError(w, newRequestID(), openAI, refused(&admission.Refusal{Reason: admission.Stopping, RetryAfter: stoppingRetryAfter}))
+			writeError(w, newRequestID(), openAI, refusalError(&admission.Refusal{Reason: admission.Stopping, RetryAfter: stoppingRetryAfter}))
 			return
 		}
 		defer s.inFlight.Done()
 		s.metrics.Count("requests", 1)
 		clock.Sync()
-		began := clock.Now()
+		startedAt := clock.Now()
 		ctx, span := s.tracer.Start(s.tracer.Extract(r.Context(), r.Header), "request", trace.SpanKindServer,
 			attribute.String("path", r.URL.Path))
 		defer span.End()
-		c, fault := s.take(ctx, w, r, next, openAI)
-		s.metrics.Observe("request", clock.Since(began))
-		if fault == nil {
-			s.log.Emit(event.RequestDone).Str("request", c.id).Dur("took_ms", clock.Since(began)).Send()
+		c, failure := s.handleCall(ctx, w, r, next, openAI)
+		s.metrics.Observe("request", clock.Since(startedAt))
+		if failure == nil {
+			s.log.Emit(event.RequestDone).Str("request", c.id).Dur("took_ms", clock.Since(startedAt)).Send()
 			return
 		}
-		span.SetAttributes(attribute.String("code", fault.Code), attribute.String("verdict", fault.Verdict.String()))
-		s.failed(c, fault)
-		writeError(w, c.id, openAI, fault)
+		span.SetAttributes(attribute.String("code", failure.Code), attribute.String("verdict", failure.Verdict.String()))
+		s.recordFailure(c, failure)
+		writeError(w, c.id, openAI, failure)
 	}
 }
 
-// take authenticates, reads and runs one call. The call is never nil.
-func (s *Server) take(ctx context.Context, w http.ResponseWriter, r *http.Request, next step, openAI bool) (*call, *verdict.Error) {
-	unread := &call{id: newRequestID(), trail: &trail{began: clock.Now()}}
+// handleCall authenticates, reads and runs one call. The returned call is never
+// nil.
+func (s *Server) handleCall(ctx context.Context, w http.ResponseWriter, r *http.Request, next callHandler, openAI bool) (*call, *verdict.Error) {
+	unreadCall := &call{id: newRequestID(), decisions: &decisionLog{startedAt: clock.Now()}}
 	snapshot := s.source.Snapshot()
 	if snapshot == nil || !s.source.Loaded() {
-		return unread, &verdict.Error{
+		return unreadCall, &verdict.Error{
 			Verdict:    verdict.NotRun,
 			Status:     http.StatusServiceUnavailable,
 			Code:       codeNotReady,
@@ -350,101 +365,105 @@
 			RetryAfter: refusedRetryAfter,
 		}
 	}
-	team, fault := authenticate(snapshot, r.Header)
-	if fault != nil {
+	team, failure := authenticate(snapshot, r.Header)
+	if failure != nil {
 		s.log.Emit(event.BadKey).Str("address", r.RemoteAddr).Send()
-		return unread, fault
+		return unreadCall, failure
 	}
-	c, fault := s.readCall(w, r, team)
-	if fault != nil {
-		return c, fault
+	c, failure := s.readCall(w, r, team)
+	if failure != nil {
+		return c, failure
 	}
 	c.openAI = openAI
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(s.hard, cancel)
+	stop := context.AfterFunc(s.abortCtx, cancel)
 	defer stop()
 	return c, next(ctx, w, r, c, snapshot)
 }
 
-// failed logs and counts a failure by its kind.
-func (s *Server) failed(c *call, fault *verdict.Error) {
+// recordFailure logs and counts a failure by its kind.
+func (s *Server) recordFailure(c *call, failure *verdict.Error) {
 	kind := event.RequestRefused
 	switch {
-	case fault.Verdict != verdict.NotRun:
+	case failure.Verdict != verdict.NotRun:
 		kind = event.RequestFailed
-	case fault.Status < http.StatusInternalServerError && fault.RetryAfter == 0:
+	case failure.Status < http.StatusInternalServerError && failure.RetryAfter == 0:
 		kind = event.BadInput
 	}
-	s.metrics.Count("failed."+fault.Code, 1)
-	c.trail.add("answered %d %s (%s)", fault.Status, fault.Code, fault.Verdict)
-	line := s.log.Emit(kind).Str("request", c.id).Str("code", fault.Code).Str("verdict", fault.Verdict.String())
+	s.metrics.Count("failed."+failure.Code, 1)
+	c.decisions.add("answered %d %s (%s)", failure.Status, failure.Code, failure.Verdict)
+	line := s.log.Emit(kind).Str("request", c.id).Str("code", failure.Code).Str("verdict", failure.Verdict.String())
 	if c.team.Name != "" {
 		line = line.Str("team", c.team.Name)
 	}
-	if fault.Cause != nil {
-		line = line.AnErr("cause", fault.Cause)
+	if failure.Cause != nil {
+		line = line.AnErr("cause", failure.Cause)
 	}
 	line.Send()
 }
 
-// model handles the OpenAI paths.
-func (s *Server) model(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error {
-	name, fault := c.readModelRequest()
-	if fault != nil {
-		return fault
+// handleModel handles the OpenAI paths.
+func (s *Server) handleModel(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error {
+	name, failure := c.readModelRequest()
+	if failure != nil {
+		return failure
 	}
-	c.path = r.URL.Path
-	return s.start(ctx, w, c, snapshot, name, table.Model)
+	c.upstreamPath = r.URL.Path
+	return s.dispatch(ctx, w, c, snapshot, name, table.Model)
 }
 
-// plain handles /services/SERVICE/PATH. The upstream gets /PATH.
-func (s *Server) plain(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error {
-	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix), "/")
-	c.path = "/" + rest
+// handlePlain handles /services/SERVICE/PATH. The upstream receives /PATH.
+func (s *Server) handlePlain(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error {
+	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix), "/")
+	c.upstreamPath = "/" + path
 	if r.URL.RawQuery != "" {
-		c.path += "?" + r.URL.RawQuery
+		c.upstreamPath += "?" + r.URL.RawQuery
 	}
-	if _, err := url.ParseRequestURI(c.path); err != nil {
-		return badInput(http.StatusBadRequest, codeBadRequest, "the path can't be passed on")
+	if _, err := url.ParseRequestURI(c.upstreamPath); err != nil {
+		return invalidInput(http.StatusBadRequest, codeBadRequest, "the path can't be passed on")
 	}
-	return s.start(ctx, w, c, snapshot, name, table.Plain)
+	return s.dispatch(ctx, w, c, snapshot, name, table.Plain)
 }
 
-func (s *Server) start(ctx context.Context, w http.ResponseWriter, c *call, snapshot *view.Snapshot, name string, kind table.ServiceKind) *verdict.Error {
-	if fault := c.setService(snapshot, name, kind, clock.Now()); fault != nil {
-		return fault
+// dispatch sets the service and deadline of the call, then resumes or serves it.
+func (s *Server) dispatch(ctx context.Context, w http.ResponseWriter, c *call, snapshot *view.Snapshot, name string, kind table.ServiceKind) *verdict.Error {
+	if failure := c.setService(snapshot, name, kind, clock.Now()); failure != nil {
+		return failure
 	}
-	c.trail.add("team %s, service %s, priority %d, at most once: %t", c.team.Name, name, c.priority, c.once)
+	c.decisions.add("team %s, service %s, priority %d, at most once: %t", c.team.Name, name, c.priority, c.atMostOnce)
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer cancel()
-	if !c.last.zero() {
+	if !c.lastEvent.isZero() {
 		return s.resume(ctx, w, c, snapshot)
 	}
 	return s.serve(ctx, w, c, snapshot)
 }
 
-// callerPath is the path at an entry, for handing the call to another one.
-func (c *call) callerPath() string {
+// entryPath returns the path of the call at an entry, for forwarding it to
+// another one.
+func (c *call) entryPath() string {
 	if c.service.Kind == table.Plain {
-		return servicesPrefix + c.service.Name + c.path
+		return servicesPrefix + c.service.Name + c.upstreamPath
 	}
-	return c.path
+	return c.upstreamPath
 }
 
-// modelList is the OpenAI answer of /v1/models.
+// modelList is the OpenAI response of /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
 }
 
+// modelEntry is one model of a modelList.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
 }
 
-func (s *Server) models(_ context.Context, w http.ResponseWriter, _ *http.Request, _ *call, snapshot *view.Snapshot) *verdict.Error {
+// listModels handles /v1/models.
+func (s *Server) listModels(_ context.Context, w http.ResponseWriter, _ *http.Request, _ *call, snapshot *view.Snapshot) *verdict.Error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for name, service := range snapshot.Services {
 		if service.Kind == table.Model {
@@ -461,7 +480,7 @@
 
 // Explain implements EntryService.
 func (e explainer) Explain(_ context.Context, r *connect.Request[marbleroadv1.ExplainRequest]) (*connect.Response[marbleroadv1.ExplainResponse], error) {
-	steps, found := e.s.trails.find(r.Msg.GetRequestId())
+	steps, found := e.s.decisionLogs.find(r.Msg.GetRequestId())
 	return connect.NewResponse(&marbleroadv1.ExplainResponse{
 		Found:   found,
 		EntryId: e.s.config.NodeID,
--- a/internal/entry/source.go
+++ b/internal/entry/source.go
@@ -26,17 +26,17 @@
 const SourceName = "source"
 
 const (
-	// viewTimeout bounds one reading of a control process's view.
+	// viewTimeout bounds one read of a control process's view.
 	viewTimeout = time.Second
-	// switchAfter is how many failed readings in a row make the entry read
-	// from the next control process.
-	switchAfter = 2
-	// preferAgain is how long the entry stays with another control process
-	// before it tries the first one again.
-	preferAgain = 10 * time.Second
+	// failuresBeforeSwitch is the number of consecutive failed reads after
+	// which the entry reads from the next control process.
+	failuresBeforeSwitch = 2
+	// preferredRetryInterval is how long the entry reads from another control
+	// process before it tries the first one again.
+	preferredRetryInterval = 10 * time.Second
 )
 
-// SourceConfig says where the view comes from.
+// SourceConfig holds the settings of a Source.
 type SourceConfig struct {
 	EntryID       string
 	FailureDomain string
@@ -45,9 +45,10 @@
 	Window        time.Duration
 }
 
-// Share is this entry's part of the limits that hold over all entries.
+// Share is this entry's share of the limits that apply to all entries together.
 type Share struct {
-	// Teams maps a team to its requests per second here.
+	// Teams maps the name of a limit subject to its requests per second at this
+	// entry. The subject is a team, or a team at one service.
 	Teams map[string]float64
 	// LiveEntries counts the entries of this failure domain; at least 1.
 	LiveEntries int
@@ -58,14 +59,14 @@
 // Source keeps the entry's snapshot up to date from a control process. One
 // goroutine reads and builds; traffic goroutines only load atomic pointers.
 type Source struct {
-	config  SourceConfig
-	log     *event.Logger
-	peers   *transport.Peers
-	client  *http.Client
-	items   *item.Set
-	board   *presence.Registry
-	builder *view.Builder
-	// listener is found by name before the reading goroutine starts.
+	config       SourceConfig
+	log          *event.Logger
+	peers        *transport.Peers
+	client       *http.Client
+	items        *item.Set
+	probeResults *presence.Registry
+	builder      *view.Builder
+	// listener is looked up by name before the reading goroutine starts.
 	listener viewListener
 
 	snapshot atomic.Pointer[view.Snapshot]
@@ -76,17 +77,17 @@
 	done   sync.WaitGroup
 
 	// The fields below belong to the reading goroutine.
-	current    int
-	failures   int
-	switchedAt time.Time
-	cursors    map[string]item.Cursor
-	witnesses  map[string]*wire.WitnessReader
+	controlIndex   int
+	failures       int
+	switchedAt     time.Time
+	cursors        map[string]item.Cursor
+	witnessReaders map[string]*wire.WitnessReader
 }
 
-// viewListener is the service that the source reads for. Both methods are
-// called on the reading goroutine.
+// viewListener is the service that receives what the source reads. Both methods
+// are called on the reading goroutine.
 type viewListener interface {
-	// demand is asked for before each reading.
+	// demand returns the demand to report; it is called before each read.
 	demand() []*marbleroadv1.TeamDemand
 	// update is called after each new snapshot.
 	update(*view.Snapshot, *Share)
@@ -96,16 +97,16 @@
 func NewSource(c SourceConfig, log *event.Logger, peers *transport.Peers) *Source {
 	items := item.NewSet(1)
 	return &Source{
-		config:  c,
-		log:     log,
-		peers:   peers,
-		client:  peers.Client(),
-		items:   items,
-		board:   presence.NewRegistry(),
-		builder: view.NewBuilder(c.FailureDomain, items),
-		cursors: make(map[string]item.Cursor),
+		config:       c,
+		log:          log,
+		peers:        peers,
+		client:       peers.Client(),
+		items:        items,
+		probeResults: presence.NewRegistry(),
+		builder:      view.NewBuilder(c.FailureDomain, items),
+		cursors:      make(map[string]item.Cursor),
 
-		witnesses: make(map[string]*wire.WitnessReader),
+		witnessReaders: make(map[string]*wire.WitnessReader),
 	}
 }
 
@@ -134,21 +135,22 @@
 	return nil
 }
 
-// Snapshot returns what is in force; nil before the first reading.
+// Snapshot returns the current snapshot; nil before the first read.
 func (s *Source) Snapshot() *view.Snapshot { return s.snapshot.Load() }
 
-// Share returns this entry's part of the limits; nil before the first reading.
+// Share returns this entry's share of the limits; nil before the first read.
 func (s *Source) Share() *Share { return s.share.Load() }
 
 // Loaded reports whether the table has been read at least once.
 func (s *Source) Loaded() bool { return s.loaded.Load() }
 
+// loop refreshes the snapshot at each interval until ctx ends.
 func (s *Source) loop(ctx context.Context) {
 	defer s.done.Done()
 	ticker := time.NewTicker(s.config.Interval)
 	defer ticker.Stop()
 	for {
-		s.round(ctx)
+		s.refresh(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -157,21 +159,21 @@
 	}
 }
 
-// round reads once and builds the snapshot anew, also when the reading failed:
-// witnesses grow old by themselves.
-func (s *Source) round(ctx context.Context) {
-	s.preferFirst()
-	err := s.read(ctx)
+// refresh reads the view once and rebuilds the snapshot, even if the read
+// failed: probe results expire with time.
+func (s *Source) refresh(ctx context.Context) {
+	s.returnToPreferred()
+	err := s.readView(ctx)
 	if err != nil && ctx.Err() == nil {
-		s.failed(err)
+		s.recordReadFailure(err)
 	}
 	if err == nil {
 		s.failures = 0
 	}
 	now := clock.Now()
-	snapshot, faults := s.builder.Build(s.board, now, s.config.Window)
-	for _, f := range faults {
-		s.log.Emit(event.ViewUnreadable).Str("key", f.Key).Err(f.Err).Send()
+	snapshot, decodeErrors := s.builder.Build(s.probeResults, now, s.config.Window)
+	for _, decodeErr := range decodeErrors {
+		s.log.Emit(event.ViewUnreadable).Str("key", decodeErr.Key).Err(decodeErr.Err).Send()
 	}
 	s.snapshot.Store(snapshot)
 	share := s.share.Load()
@@ -181,33 +183,38 @@
 	s.listener.update(snapshot, share)
 }
 
-func (s *Source) preferFirst() {
-	if s.current != 0 && clock.Since(s.switchedAt) > preferAgain {
-		s.current = 0
+// returnToPreferred switches back to the first control process after
+// preferredRetryInterval.
+func (s *Source) returnToPreferred() {
+	if s.controlIndex != 0 && clock.Since(s.switchedAt) > preferredRetryInterval {
+		s.controlIndex = 0
 		s.failures = 0
 	}
 }
 
-func (s *Source) failed(err error) {
+// recordReadFailure counts a failed read and switches to the next control
+// process after failuresBeforeSwitch of them.
+func (s *Source) recordReadFailure(err error) {
 	s.failures++
-	if s.failures < switchAfter || len(s.config.Controls) < 2 {
+	if s.failures < failuresBeforeSwitch || len(s.config.Controls) < 2 {
 		return
 	}
 	s.failures = 0
-	s.current = (s.current + 1) % len(s.config.Controls)
+	s.controlIndex = (s.controlIndex + 1) % len(s.config.Controls)
 	s.switchedAt = clock.Now()
-	s.log.Emit(event.ControlSwitched).Str("control", s.config.Controls[s.current]).Err(err).Send()
+	s.log.Emit(event.ControlSwitched).Str("control", s.config.Controls[s.controlIndex]).Err(err).Send()
 }
 
-func (s *Source) read(ctx context.Context) error {
+// readView reads the view of the current control process.
+func (s *Source) readView(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	address := s.config.Controls[s.current]
+	address := s.config.Controls[s.controlIndex]
 	client := marbleroadv1connect.NewViewServiceClient(s.client, s.peers.URL(address), connect.WithReadMaxBytes(transport.MaxMessage))
-	reader := s.witnesses[address]
+	reader := s.witnessReaders[address]
 	if reader == nil {
 		reader = &wire.WitnessReader{}
-		s.witnesses[address] = reader
+		s.witnessReaders[address] = reader
 	}
 	req := &marbleroadv1.GetViewRequest{
 		Items:        wire.CursorMessage(s.cursors[address]),
@@ -216,23 +223,24 @@
 		WitnessEpoch: reader.Epoch(),
 		Digest:       s.items.Digest(),
 	}
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	resp, err := client.GetView(ctx, connect.NewRequest(req))
 	if err != nil {
 		return errors.Wrapf(err, "read view of %s", address)
 	}
-	seen, err := reader.Read(resp.Msg.GetWitnesses(), asked)
+	results, err := reader.Read(resp.Msg.GetWitnesses(), requestedAt)
 	if err != nil {
 		return err
 	}
-	for _, w := range seen {
-		s.board.Record(w)
+	for _, result := range results {
+		s.probeResults.Record(result)
 	}
-	s.adopt(address, resp.Msg)
+	s.adoptView(address, resp.Msg)
 	return nil
 }
 
-func (s *Source) adopt(address string, m *marbleroadv1.GetViewResponse) {
+// adoptView merges a view that was read from the control process at address.
+func (s *Source) adoptView(address string, m *marbleroadv1.GetViewResponse) {
 	for _, it := range m.GetChanged() {
 		s.items.Adopt(wire.Item(it))
 	}
@@ -242,8 +250,8 @@
 		LiveEntries: max(int(m.GetLiveEntries()), 1),
 		AllEntries:  max(int(m.GetAllEntries()), 1),
 	}
-	for _, t := range m.GetShares() {
-		share.Teams[t.GetTeam()] = t.GetRate()
+	for _, teamShare := range m.GetShares() {
+		share.Teams[teamShare.GetTeam()] = teamShare.GetRate()
 	}
 	s.share.Store(share)
 	if m.GetTableLoaded() {
--- a/internal/entry/trail.go
+++ b/internal/entry/trail.go
@@ -10,51 +10,54 @@
 	"github.com/marbleroad/marbleroad/internal/clock"
 )
 
-// trailsKept is how many requests can be explained afterwards.
-const trailsKept = 4096
+// maxDecisionLogs is how many requests can be explained afterwards.
+const maxDecisionLogs = 4096
 
-// trail records the decisions about one request, for marbleroadctl explain.
-type trail struct {
-	began time.Time
+// decisionLog records the decisions about one request, for marbleroadctl explain.
+type decisionLog struct {
+	startedAt time.Time
 
 	mu    sync.Mutex
 	steps []string
 }
 
-// add notes one decision.
-func (t *trail) add(format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	at := clock.Since(t.began).Round(10 * time.Microsecond)
-	t.steps = append(t.steps, fmt.Sprintf("+%s ", at)+fmt.Sprintf(format, args...))
+// add records one decision with the time since the start of the request.
+func (l *decisionLog) add(format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	offset := clock.Since(l.startedAt).Round(10 * time.Microsecond)
+	l.steps = append(l.steps, fmt.Sprintf("+%s ", offset)+fmt.Sprintf(format, args...))
 }
 
-func (t *trail) copy() []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]string(nil), t.steps...)
+// copySteps returns a copy of the recorded decisions.
+func (l *decisionLog) copySteps() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]string(nil), l.steps...)
 }
 
-// trails keeps the latest trails.
-type trails struct {
-	kept *lru.Cache[string, *trail]
+// decisionLogs keeps the decision logs of the latest requests.
+type decisionLogs struct {
+	recent *lru.Cache[string, *decisionLog]
 }
 
-func newTrails() *trails {
-	kept, _ := lru.New[string, *trail](trailsKept)
-	return &trails{kept: kept}
+func newDecisionLogs() *decisionLogs {
+	recent, _ := lru.New[string, *decisionLog](maxDecisionLogs)
+	return &decisionLogs{recent: recent}
 }
 
-func (ts *trails) begin(id string) *trail {
-	t := &trail{began: clock.Now()}
-	ts.kept.Add(id, t)
-	return t
+// start adds an empty decision log for the request.
+func (l *decisionLogs) start(id string) *decisionLog {
+	log := &decisionLog{startedAt: clock.Now()}
+	l.recent.Add(id, log)
+	return log
 }
 
-func (ts *trails) find(id string) ([]string, bool) {
-	t, ok := ts.kept.Get(id)
+// find returns the decisions about a request and whether they are still kept.
+func (l *decisionLogs) find(id string) ([]string, bool) {
+	log, ok := l.recent.Get(id)
 	if !ok {
 		return nil, false
 	}
-	return t.copy(), true
+	return log.copySteps(), true
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -72,23 +72,23 @@
 mutant "a broken stream is not resumed" internal/entry/forward.go \
   's/maxResumes = 3/maxResumes = 0/' ./test/integration TestBrokenStreamIsResumed
 mutant "a stream that breaks ends without an event" internal/entry/forward.go \
-  's/_, _ = w\.Write\(errorEvent\(c\.id, fault\)\)\n\t_ = control\.Flush\(\)\n\ts\.failed\(c, fault\)\n\treturn nil/s.failed(c, fault)\n\treturn nil/' ./test/integration TestUpstreamDiesInTheMiddle
+  's/_, _ = w\.Write\(errorEvent\(c\.id, failure\)\)\n\t_ = controller\.Flush\(\)\n\ts\.recordFailure\(c, failure\)\n\treturn nil/s.recordFailure(c, failure)\n\treturn nil/' ./test/integration TestUpstreamDiesInTheMiddle
 mutant "a conflicting ledger write counts as done" internal/ledger/ledger.go \
   's/case err == nil:\n\t\tc\.bucket = next/case err == nil, errors.Is(err, platform.ErrConflict):\n\t\tc.bucket = next/' ./internal/ledger TestAtMostOnce
 mutant "a request goes out though its key could not be written" internal/entry/dispatch.go \
-  's/if err != nil \{\n\t\tc\.trail\.add\("ledger: %v", err\)/if false {\n\t\tc.trail.add("ledger: %v", err)/' ./test/integration TestPlatformDownRefusesKeyedRequestsAsNotRun
+  's/if err != nil \{\n\t\tc\.decisions\.add\("ledger: %v", err\)/if false {\n\t\tc.decisions.add("ledger: %v", err)/' ./test/integration TestPlatformDownRefusesKeyedRequestsAsNotRun
 mutant "a key that has begun is begun again" internal/ledger/ledger.go \
   's/case found && old\.Stage != Released:/case false:/' ./internal/ledger TestAtMostOnce
 mutant "a caller's request ID names the attempt" internal/entry/dispatch.go \
-  's/attempt := newRequestID\(\)/attempt := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
+  's/attemptID := newRequestID\(\)/attemptID := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
 mutant "a leaving VM gets work" internal/view/view.go \
   's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not held while the platform is down" internal/control/drain.go \
   's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
 mutant "a stop does not wait for answers in flight" internal/entry/server.go \
-  's/case <-done:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
+  's/case <-finished:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
 mutant "a stop does not wait for outcomes to be stored" internal/entry/server.go \
-  's/\ts\.ledger\.Flush\(closing\)\n//' ./test/integration TestShutdownStoresOutcomes
+  's/s\.ledger\.Flush\(flushCtx\)/_ = flushCtx/' ./test/integration TestShutdownStoresOutcomes
 mutant "what was known of a VM's former life goes on" internal/director/lives.go \
   's/\ts\.resetIncarnation\(now, v, vm, vm\.Born\)\n/\tv.born = vm.Born\n/' ./internal/director TestVMRestartsUnderItsID
 mutant "a former life's late report counts" internal/director/lives.go \
@@ -252,7 +252,7 @@
 mutant "a length beside chunks is taken" internal/gateway/framing.go \
   's/if !known \|\| len\(r\.TransferEncoding\) == 0/if known || true/' ./internal/gateway TestAmbiguousLengthIsRefused
 mutant "an entry keeps the connection of a request in chunks" internal/entry/server.go \
-  's/if len\(r\.TransferEncoding\) > 0/if false/' ./internal/entry TestNothingHiddenBehindChunksIsServed
+  's/if len\(r\.TransferEncoding\) > 0/if false/' ./internal/entry TestRequestSmuggledBehindChunksIsNotServed
 mutant "silent nodes count until another is heard" internal/gateway/choose.go \
   's/tt\.dropExpiredPeers\(now\)//' ./internal/gateway TestLoadsOfSilentNodesExpire
 mutant "free VMs are never kept" internal/placement/placement.go \
