--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles the two daemons from their services and runs them.
+// Package daemon assembles the daemons from their services and runs them.
 package daemon
 
 import (
@@ -39,17 +39,21 @@
 )
 
 const (
-	// ledgerWindow is how long an idempotency key is remembered.
+	// ledgerWindow is how long the ledger keeps an idempotency key.
 	ledgerWindow = time.Hour
 	// controlStopLimit bounds the shutdown of the control daemon.
 	controlStopLimit = 10 * time.Second
-	platformIdle     = 4
-	probeIdle        = 1
-	idleTimeout      = 90 * time.Second
-	flushTimeout     = time.Second
+	// platformIdleConns and probeIdleConns bound the idle connections to one
+	// host, for calls to the platform and for probes of upstreams.
+	platformIdleConns = 4
+	probeIdleConns    = 1
+	// idleTimeout is how long an idle connection is kept open.
+	idleTimeout = 90 * time.Second
+	// flushTimeout bounds the export of the last traces.
+	flushTimeout = time.Second
 )
 
-// base is what both daemons have.
+// base holds what all daemons have in common.
 type base struct {
 	path     string
 	program  settings.Program
@@ -65,7 +69,7 @@
 func Main(program settings.Program) int {
 	root := &cobra.Command{
 		Use:           string(program),
-		Short:         shorts[program],
+		Short:         descriptions[program],
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -81,8 +85,9 @@
 	return ExitFailure
 }
 
-var shorts = map[settings.Program]string{
-	settings.EntryProgram:   "Serves callers: admission in order of worth, routing, relay.",
+// descriptions are the help texts of the daemons.
+var descriptions = map[settings.Program]string{
+	settings.EntryProgram:   "Serves callers: admission in priority order, routing, relay.",
 	settings.ControlProgram: "Probes upstreams, forms groups, distributes the table, answers operators.",
 	settings.NodeProgram:    "Serves callers by the platform's configuration and forms groups, in one process.",
 }
@@ -106,7 +111,7 @@
 func checkCommand(program settings.Program) *cobra.Command {
 	return &cobra.Command{
 		Use:     "check-config FILE",
-		Short:   "Check an INI file and list all faults; exit code 2 if there are any.",
+		Short:   "Check an INI file and list all errors; exit code 2 if there are any.",
 		Example: "  " + string(program) + " check-config /etc/marbleroad.ini",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -139,6 +144,7 @@
 	return info.Main.Version
 }
 
+// run starts the daemon and returns when it has stopped.
 func run(program settings.Program, path string, s *settings.Settings) error {
 	stops, reloads := catchSignals()
 	out := event.NewAsync(os.Stdout)
@@ -152,8 +158,8 @@
 	if err != nil {
 		return err
 	}
-	from := localAddress(s, program)
-	peers, err := transport.NewPeers(s.TLS, from)
+	localAddr := localAddress(s, program)
+	peers, err := transport.NewPeers(s.TLS, localAddr)
 	if err != nil {
 		return errors.Mark(err, settings.ErrInvalid)
 	}
@@ -165,7 +171,7 @@
 		metrics:  metrics.NewRegistry(),
 		tracer:   tracer,
 		peers:    peers,
-		platform: platformapi.New(s.Platform.URL, tracer.Transport("platform", newTransport(from, platformIdle, &peers.Traffic.Platform)), s.Platform.Timeout),
+		platform: platformapi.New(s.Platform.URL, tracer.Transport("platform", newTransport(localAddr, platformIdleConns, &peers.Traffic.Platform)), s.Platform.Timeout),
 	}
 	k, err := b.assemble(program)
 	if err != nil {
@@ -173,41 +179,41 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go b.watchLog(ctx, out)
-	go b.reloadOn(reloads)
+	go b.reportLogLoss(ctx, out)
+	go b.reloadOnSignal(reloads)
 	return b.runUntilSignal(k, stops)
 }
 
-// signalsKept is how many signals wait for their handling; more of a series say nothing new.
-const signalsKept = 4
+// maxPendingSignals bounds the stop signals that wait to be handled; further ones have no effect.
+const maxPendingSignals = 4
 
-// catchSignals has stop and reload signals wait for their handling. It comes first of all: a
-// reload signal that nobody catches ends the process.
+// catchSignals queues stop and reload signals. It must be called before anything else, as a reload
+// signal without a handler terminates the process.
 func catchSignals() (stops, reloads chan os.Signal) {
-	stops, reloads = make(chan os.Signal, signalsKept), make(chan os.Signal, 1)
+	stops, reloads = make(chan os.Signal, maxPendingSignals), make(chan os.Signal, 1)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
 	return stops, reloads
 }
 
-// logInterval is the time between two looks at what the log has lost.
-const logInterval = 5 * time.Second
+// logLossInterval is the time between two checks for lost log lines.
+const logLossInterval = 5 * time.Second
 
-// watchLog counts lines that were left out or dropped, and says so.
-func (b base) watchLog(ctx context.Context, out *event.Async) {
-	told := int64(0)
-	for wait.Sleep(ctx, logInterval) {
+// reportLogLoss counts the log lines that were skipped or dropped, and logs the dropped ones.
+func (b base) reportLogLoss(ctx context.Context, out *event.Async) {
+	reported := int64(0)
+	for wait.Sleep(ctx, logLossInterval) {
 		dropped := out.Dropped()
 		b.metrics.Set("log.dropped", dropped)
 		b.metrics.Set("log.skipped", b.log.Skipped())
-		if dropped > told {
-			b.log.Emit(event.LogDropped).Int64("dropped", dropped-told).Send()
-			told = dropped
+		if dropped > reported {
+			b.log.Emit(event.LogDropped).Int64("dropped", dropped-reported).Send()
+			reported = dropped
 		}
 	}
 }
 
-// localAddress is the address that connections to others come from.
+// localAddress returns the address from which outgoing connections are made.
 func localAddress(s *settings.Settings, program settings.Program) string {
 	switch program {
 	case settings.EntryProgram:
@@ -218,20 +224,22 @@
 	return s.Control.Listen
 }
 
-// mostIdle bounds the idle connections to all hosts together: a node that gave orders to a thousand VMs
-// kept one open to each.
-const mostIdle = 128
+// maxIdleConns bounds the idle connections to all hosts together. Without it, a node that sent orders to
+// 1,000 VMs kept one connection open to each.
+const maxIdleConns = 128
 
-func newTransport(from string, idle int, meter *transport.Meter) *http.Transport {
+// newTransport returns an HTTP transport whose connections come from localAddr and are counted by meter.
+func newTransport(localAddr string, maxIdlePerHost int, meter *transport.Meter) *http.Transport {
 	return &http.Transport{
-		DialContext:         transport.Metered(transport.Dialer(from).DialContext, meter),
-		MaxIdleConns:        mostIdle,
-		MaxIdleConnsPerHost: idle,
+		DialContext:         transport.Metered(transport.Dialer(localAddr).DialContext, meter),
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
+// assemble creates the services of a daemon.
 func (b base) assemble(program settings.Program) (*kernel.Kernel, error) {
 	switch program {
 	case settings.EntryProgram:
@@ -242,9 +250,10 @@
 	return b.control()
 }
 
+// entry assembles marbleroad-entry.
 func (b base) entry() (*kernel.Kernel, error) {
 	s := b.settings
-	callerTLS, err := callerTLS(s.TLS)
+	callerTLS, err := loadCallerTLS(s.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -280,7 +289,8 @@
 	)
 }
 
-func callerTLS(s settings.TLS) (*tls.Config, error) {
+// loadCallerTLS reads the certificate for callers; it returns nil if none is set.
+func loadCallerTLS(s settings.TLS) (*tls.Config, error) {
 	if s.CallerCert == "" {
 		return nil, nil
 	}
@@ -291,6 +301,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{cert}}, nil
 }
 
+// control assembles marbleroad-control.
 func (b base) control() (*kernel.Kernel, error) {
 	tuneMemory()
 	s := b.settings
@@ -319,11 +330,12 @@
 		Tracer:   b.tracer,
 		Peers:    b.peers,
 		Platform: b.platform,
-		Engine:   engineapi.New(newTransport(s.Control.Listen, probeIdle, &b.peers.Traffic.Upstreams)),
+		Engine:   engineapi.New(newTransport(s.Control.Listen, probeIdleConns, &b.peers.Traffic.Upstreams)),
 	})
 	return assemble(admin.New(s.Control.Admin, b.metrics, control.ServiceName, s.Debug.Pprof), c)
 }
 
+// assemble registers the services in a new kernel, which starts them in this order.
 func assemble(services ...kernel.Service) (*kernel.Kernel, error) {
 	k := kernel.New()
 	for _, s := range services {
@@ -334,9 +346,9 @@
 	return k, nil
 }
 
-// runUntilSignal starts the services and stops them at the first SIGTERM or SIGINT. Stop
-// signals come in series, and none of them may cut an answer, so a second SIGTERM changes nothing.
-// A SIGINT during a stop, a person's key, ends the waiting for work in flight.
+// runUntilSignal starts the services and stops them at the first SIGTERM or SIGINT. A stop is often
+// signalled several times, and none of the signals may interrupt a response, so a second SIGTERM has no
+// effect. A SIGINT during a stop, as from a user's Ctrl-C, ends the wait for requests in flight.
 func (b base) runUntilSignal(k *kernel.Kernel, signals <-chan os.Signal) error {
 	if err := k.Start(context.Background()); err != nil {
 		b.log.Emit(event.ServiceFailed).Err(err).Send()
@@ -356,18 +368,18 @@
 		}
 	}()
 	err := k.Stop(ctx)
-	flush, cancelFlush := context.WithTimeout(context.Background(), flushTimeout)
+	flushCtx, cancelFlush := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancelFlush()
-	if flushErr := b.tracer.Stop(flush); flushErr != nil {
+	if flushErr := b.tracer.Stop(flushCtx); flushErr != nil {
 		b.log.Emit(event.TraceExportFailed).Err(flushErr).Send()
 	}
 	b.log.Emit(event.Stopped).Err(err).Send()
 	return err
 }
 
-// reloadOn reads the settings file again at each signal. Only what can change
-// without cutting a request takes effect: the log level.
-func (b base) reloadOn(signals <-chan os.Signal) {
+// reloadOnSignal reads the settings file again at each signal. Only settings that
+// can change without interrupting a request take effect: the log level and rate.
+func (b base) reloadOnSignal(signals <-chan os.Signal) {
 	for range signals {
 		s, err := settings.Load(b.path, b.program)
 		if err == nil {
@@ -378,19 +390,21 @@
 	}
 }
 
-// Control may take 128 MB of a node, so the collector works half as often as
-// by default, and more near the limit.
+// Control may use 128 MB of a node. The garbage collector therefore runs half as
+// often as by default, and more often near the soft limit.
 const (
 	collectorPercent = 200
-	softMemoryLimit  = 88 << 20
+	softMemoryLimit  = 88 << 20 // bytes
 )
 
+// tuneMemory configures the garbage collector for the control daemon.
 func tuneMemory() {
 	debug.SetGCPercent(collectorPercent)
 	debug.SetMemoryLimit(softMemoryLimit)
 }
 
-// stopLimit bounds the whole stop; the services keep their own, shorter limits.
+// stopLimit returns the bound of the entire stop; the services have their own,
+// shorter limits.
 func (b base) stopLimit() time.Duration {
 	return b.settings.Entry.BalancerDelay + b.settings.Entry.ShutdownLimit + controlStopLimit
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -22,83 +22,87 @@
 )
 
 const (
-	// catalogWait is how long one watch of the configuration waits. An answer
-	// without changes proves that the known one is the newest, so it bounds that
-	// proof's age and with it how long keys are honoured without the platform.
-	catalogWait = time.Second
-	// busySettle is the time between two watches of the upstream VMs while a director is in
-	// a hurry, since it forms a group. Heartbeats end each watch within some 25 ms, so this
-	// pause is what limits the calls. With many nodes groups come and go all the time: the
-	// busy pause grows with the nodes.
-	busySettle = 60 * time.Millisecond
-	mostBusy   = 180 * time.Millisecond
-	// busyNodes is up to how many nodes the busy pause stays the least.
-	busyNodes = 10
-	// keyProofMargin is kept of the revocation bound for the time between the
-	// check of a key and the moment at which the upstream begins to run.
-	keyProofMargin = 300 * time.Millisecond
-	// stopMargin is kept of the stop's grace for the end of the process.
+	// catalogWatchWait is how long one watch request of the configuration waits
+	// for a change. A response without changes verifies that the known
+	// configuration is the latest. The wait therefore bounds the age of that
+	// verification, and with it how long keys are accepted without the platform.
+	catalogWatchWait = time.Second
+	// busyWatchPause is the time between two watches of the upstream VMs while the director
+	// forms a group. Heartbeats end each watch within some 25 ms, so this pause is what limits
+	// the rate of calls. With many nodes groups are formed and dissolved all the time, so the
+	// pause grows with the number of nodes, up to maxBusyWatchPause.
+	busyWatchPause    = 60 * time.Millisecond
+	maxBusyWatchPause = 180 * time.Millisecond
+	// busyPauseNodes is the number of nodes up to which busyWatchPause applies unchanged.
+	busyPauseNodes = 10
+	// keyVerificationMargin is subtracted from the revocation bound, for the time
+	// between the check of a key and the start of the request at the upstream.
+	keyVerificationMargin = 300 * time.Millisecond
+	// stopMargin is subtracted from the stop's grace period, for the exit of the
+	// process.
 	stopMargin = 700 * time.Millisecond
-	// storeIdle and reportIdle are how many connections are kept open.
-	storeIdle  = 4
-	reportIdle = 1
+	// storeIdleConns and reportIdleConns bound the idle connections to one host,
+	// for calls to the platform's store and for calls to upstreams.
+	storeIdleConns  = 4
+	reportIdleConns = 1
 )
 
-// node assembles marbleroad-node: the gateway, the director and what they share.
+// node assembles marbleroad-node: the gateway, the director and the services that
+// both use.
 func (b base) node() (*kernel.Kernel, error) {
 	s := b.settings
-	store := platform.NewStore(s.Platform.URL, newTransport(s.Cluster.Listen, storeIdle, &b.peers.Traffic.Platform), s.Platform.Timeout)
+	store := platform.NewStore(s.Platform.URL, newTransport(s.Cluster.Listen, storeIdleConns, &b.peers.Traffic.Platform), s.Platform.Timeout)
 	store.OnCall(func(verb, kind string) { b.metrics.Count("platform.calls."+verb+"."+kind, 1) })
 	var server *gateway.Server
-	var groups *director.Director
+	var groupDirector *director.Director
 	var nodes *cluster.Cluster
 	self := cluster.Record{ID: s.Node.ID, Address: s.Cluster.Advertise, FailureDomain: s.Node.FailureDomain, Processor: s.Node.Processor}
-	leader := feed.NewLeader(self, liveNodes{&nodes}, func() bool { return len(groups.Directing()) > 0 }, b.log, b.peers.Client(), b.peers.URL)
-	var keeper *catalog.Keeper
-	keeper = catalog.NewKeeper(feed.NewCatalog(platform.NewConfiguration(store), leader, func() uint64 { return keeper.Version() }, platform.DecodeConfiguration), b.log, catalogWait)
-	directory := fleet.NewDirectory(feed.NewFleet(platform.NewDirectory(store), leader), b.log, fleet.WatchWait, func() time.Duration {
-		if groups.Busy() {
-			return min(busySettle*time.Duration(max(nodes.Size(), busyNodes))/busyNodes, mostBusy)
+	feedLeader := feed.NewLeader(self, deferredNodes{&nodes}, func() bool { return len(groupDirector.Directing()) > 0 }, b.log, b.peers.Client(), b.peers.URL)
+	var catalogCache *catalog.Keeper
+	catalogCache = catalog.NewKeeper(feed.NewCatalog(platform.NewConfiguration(store), feedLeader, func() uint64 { return catalogCache.Version() }, platform.DecodeConfiguration), b.log, catalogWatchWait)
+	directory := fleet.NewDirectory(feed.NewFleet(platform.NewDirectory(store), feedLeader), b.log, fleet.WatchWait, func() time.Duration {
+		if groupDirector.Busy() {
+			return min(busyWatchPause*time.Duration(max(nodes.Size(), busyPauseNodes))/busyPauseNodes, maxBusyWatchPause)
 		}
 		return feed.IdleWatchPause
 	})
-	state := func() *marbleroadv1.NodeState {
-		out := &marbleroadv1.NodeState{
+	localState := func() *marbleroadv1.NodeState {
+		state := &marbleroadv1.NodeState{
 			Node:          self.ID,
 			Address:       self.Address,
 			FailureDomain: self.FailureDomain,
-			Directing:     groups.Directing(),
-			Dissolving:    groups.Dissolving(),
-			Loading:       uint32(groups.Loading()),
-			Preparing:     groups.Preparing(),
+			Directing:     groupDirector.Directing(),
+			Dissolving:    groupDirector.Dissolving(),
+			Loading:       uint32(groupDirector.Loading()),
+			Preparing:     groupDirector.Preparing(),
 		}
-		server.FillState(out)
-		return out
+		server.FillState(state)
+		return state
 	}
-	nodes = cluster.New(cluster.Config{Self: self, Listen: s.Cluster.Listen, Interval: s.Cluster.Interval}, b.log, store, b.peers, state)
+	nodes = cluster.New(cluster.Config{Self: self, Listen: s.Cluster.Listen, Interval: s.Cluster.Interval}, b.log, store, b.peers, localState)
 	suspects := quarantine.NewTable()
 	nodes.SetQuarantine(quarantine.NewGossip(suspects, b.log))
-	archive := quarantine.NewArchive(suspects, store, b.log, leader.Reads, clock.Now)
+	archive := quarantine.NewArchive(suspects, store, b.log, feedLeader.Reads, clock.Now)
 	server = gateway.NewServer(b.gatewayConfig(), gateway.Parts{
 		Log:             b.log,
 		Metrics:         b.metrics,
 		Tracer:          b.tracer,
-		Catalog:         keeper,
+		Catalog:         catalogCache,
 		Directory:       directory,
 		Caller:          platform.Caller{},
 		Upstream:        platform.Upstream{},
 		Nodes:           nodes.KnownSize,
 		StateTTL:        nodes.LivenessTimeout,
-		Suspect:         func(group string, generation uint64) { groups.Suspect(group, generation) },
+		Suspect:         func(group string, generation uint64) { groupDirector.Suspect(group, generation) },
 		Sharing:         func(domain string) backpressure.Sharing { return nodes.Sharing(clock.Now(), domain) },
-		StepDown:        func() { groups.StepDown() },
-		Dissolving:      func() []string { return groups.Dissolving() },
+		StepDown:        func() { groupDirector.StepDown() },
+		Dissolving:      func() []string { return groupDirector.Dissolving() },
 		TriggerExchange: nodes.TriggerExchange,
 		Quarantine:      suspects,
 	})
-	engines := platform.NewEngine(newTransport(s.Cluster.Listen, reportIdle, &b.peers.Traffic.Upstreams))
-	engines.OnCondition(server.ObserveVM)
-	groups = director.New(director.Config{
+	engineClient := platform.NewEngine(newTransport(s.Cluster.Listen, reportIdleConns, &b.peers.Traffic.Upstreams))
+	engineClient.OnCondition(server.ObserveVM)
+	groupDirector = director.New(director.Config{
 		NodeID:        s.Node.ID,
 		FailureDomain: s.Node.FailureDomain,
 		Processor:     s.Node.Processor,
@@ -107,67 +111,69 @@
 	}, director.Parts{
 		Log:      b.log,
 		Metrics:  b.metrics,
-		Engine:   engines,
-		Catalogs: keeper,
+		Engine:   engineClient,
+		Catalogs: catalogCache,
 		Fleet:    directory,
 		Nodes:    nodes,
 		Demand:   server,
 	})
 	nodes.OnPeer(server.ReceiveState)
-	nodes.ServeFeed(&feed.Server{Directory: directory, Cache: keeper})
-	keeper.OnChange(server.Rebuild)
-	keeper.OnReturn(archive.Refresh)
+	nodes.ServeFeed(&feed.Server{Directory: directory, Cache: catalogCache})
+	catalogCache.OnChange(server.Rebuild)
+	catalogCache.OnReturn(archive.Refresh)
 	directory.OnChange(func(*fleet.Snapshot) { server.Rebuild() })
-	directory.OnChange(groups.Refresh)
-	operators := admin.New(s.Gateway.Admin, b.metrics, gateway.ServerName, s.Debug.Pprof)
-	operators.Serve(inspect.Path, inspect.Handler(inspect.Sources{
+	directory.OnChange(groupDirector.Refresh)
+	adminServer := admin.New(s.Gateway.Admin, b.metrics, gateway.ServerName, s.Debug.Pprof)
+	adminServer.Serve(inspect.Path, inspect.Handler(inspect.Sources{
 		Node:          self.ID,
 		FailureDomain: self.FailureDomain,
 		Ready:         server.Ready,
-		Keeper:        keeper,
+		Keeper:        catalogCache,
 		Directory:     directory,
 		Cluster:       nodes,
-		Directing:     groups.Directing,
+		Directing:     groupDirector.Directing,
 		Load:          server.Load,
 		Condition:     server.Condition,
 		Suspects:      suspects,
 	}))
-	operators.Take(inspect.ReleasePath, inspect.Release(suspects))
+	adminServer.Take(inspect.ReleasePath, inspect.Release(suspects))
 	return assemble(
 		startup.NewWatch(b.log, b.metrics,
-			startup.Requirement{Name: "configuration", Met: func() bool { return keeper.Catalog() != nil }},
+			startup.Requirement{Name: "configuration", Met: func() bool { return catalogCache.Catalog() != nil }},
 			startup.Requirement{Name: "upstreams", Met: func() bool { return directory.Snapshot() != nil }},
 			startup.Requirement{Name: "nodes", Met: func() bool { return nodes.KnownSize() > 0 }},
 			startup.Requirement{Name: "keys", Met: server.KeysVerified},
 			startup.Requirement{Name: "groups", Met: server.HasGroups},
 		),
-		operators,
+		adminServer,
 		archive,
-		keeper,
+		catalogCache,
 		directory,
 		nodes,
-		groups,
+		groupDirector,
 		server,
 	)
 }
 
-// liveNodes is the cluster, which is assembled after those who ask it.
-type liveNodes struct{ cluster **cluster.Cluster }
+// deferredNodes passes calls to the cluster, which is created after the services
+// that use it.
+type deferredNodes struct{ cluster **cluster.Cluster }
 
 // Live implements feed.Nodes.
-func (n liveNodes) Live(now time.Time) []cluster.Peer { return (*n.cluster).Live(now) }
+func (n deferredNodes) Live(now time.Time) []cluster.Peer { return (*n.cluster).Live(now) }
 
 // Size implements feed.Nodes.
-func (n liveNodes) Size() int { return (*n.cluster).Size() }
+func (n deferredNodes) Size() int { return (*n.cluster).Size() }
 
-// Domain implements feed.Nodes.
-func (n liveNodes) DomainNodes() ([]cluster.Record, bool) { return (*n.cluster).DomainNodes() }
+// DomainNodes implements feed.Nodes.
+func (n deferredNodes) DomainNodes() ([]cluster.Record, bool) { return (*n.cluster).DomainNodes() }
 
+// gatewayConfig returns the settings of the gateway.
 func (b base) gatewayConfig() gateway.Config {
 	s := b.settings
-	proof := time.Duration(0)
+	revokeBound := time.Duration(0)
 	if s.Gateway.RevokeBound > 0 {
-		proof = s.Gateway.RevokeBound - keyProofMargin
+		revokeBound = s.Gateway.RevokeBound - keyVerificationMargin
 	}
 	return gateway.Config{
 		FailureDomain: s.Node.FailureDomain,
@@ -178,7 +184,7 @@
 		BalancerDelay: s.Gateway.BalancerDelay,
 		ShutdownLimit: s.Gateway.StopGrace - s.Gateway.BalancerDelay - stopMargin,
 		Linger:        s.Gateway.Linger,
-		RevokeBound:   proof,
+		RevokeBound:   revokeBound,
 		Repeats: retry.Limit{
 			Ratio:  s.Gateway.RepeatRatio,
 			Extra:  s.Gateway.RepeatExtra,
--- a/internal/daemon/transport_test.go
+++ b/internal/daemon/transport_test.go
@@ -12,11 +12,11 @@
 	"github.com/marbleroad/marbleroad/internal/transport"
 )
 
-// TestIdleConnectionsAreBounded: a director that had asked 1,000 VMs for their reports kept a connection
-// open to each, for as long as the VM left it open. At 300 nodes the busiest one had 1,093
-// connections, where the middle one had 20, and may have 4,100 files.
+// TestIdleConnectionsAreBounded: a director that had requested the reports of 1,000 VMs kept a connection
+// open to each until the VM closed it. Among 300 nodes the one with the most connections had 1,093 and
+// the median one 20, while a node may open 4,100 files.
 func TestIdleConnectionsAreBounded(t *testing.T) {
-	const hosts = mostIdle + 40
+	const hosts = maxIdleConns + 40
 	open := make(map[net.Conn]bool)
 	var mu sync.Mutex
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
@@ -32,8 +32,8 @@
 	}
 	server.Start()
 	defer server.Close()
-	client := &http.Client{Transport: newTransport("127.0.0.1:0", reportIdle, new(transport.Meter))}
-	// Each address of the loopback network is a host of its own.
+	client := &http.Client{Transport: newTransport("127.0.0.1:0", reportIdleConns, new(transport.Meter))}
+	// Each address of the loopback network counts as a separate host.
 	wildcard, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,14 +48,14 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	left := 0
+	idleConns := 0
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		mu.Lock()
-		left = len(open)
+		idleConns = len(open)
 		mu.Unlock()
-		if left <= mostIdle {
+		if idleConns <= maxIdleConns {
 			return
 		}
 	}
-	t.Errorf("%d connections are open to %d hosts", left, hosts)
+	t.Errorf("%d connections are open after requests to %d hosts", idleConns, hosts)
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -378,7 +378,7 @@
 mutant "what was planned loads on when callers come" internal/director/groups.go \
   's/s\.mayJoin\(vm, f\) && //' ./internal/director TestTrafficBeforeFirstLoadsLimitsLoads
 mutant "idle connections have no bound" internal/daemon/daemon.go \
-  's/MaxIdleConns:        mostIdle,//' ./internal/daemon TestIdleConnectionsAreBounded
+  's/MaxIdleConns:        maxIdleConns,//' ./internal/daemon TestIdleConnectionsAreBounded
 mutant "heads are filled beyond their room" internal/spread/spread.go \
   's/return min\(max\(level-h\.remaining\(\), 0\), h\.headroom\(\)\)/return max(level-h.remaining(), 0)/' ./internal/spread TestSharesKeepToTheHeadroom
 mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
