--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock is a node's clock for ages: of proofs, of what other nodes told, of credits and of
-// deadlines. It counts the time for which the VM was suspended.
+// Package clock measures ages and deadlines on a node: the age of verifications, of state received from
+// other nodes and of credits. Its clock includes the time for which the VM was suspended.
 //
-// The system's steady clock, which time.Now compares by, stands still meanwhile. A node that slept
-// for ten seconds would take a proof from before for fresh, and honour a key that was taken away. The
-// time of day counts that time too, but is set back and forward at times.
+// The system's monotonic clock, which time.Now compares by, is paused during a suspension. After a
+// suspension of ten seconds, a node would treat an earlier verification as current and accept a key that
+// was revoked meanwhile. The wall clock includes suspensions, but is set back and forward at times.
 //
-// Times of this clock are compared with each other only, never with those of time.Now.
+// Times of this clock must only be compared with each other, never with those of time.Now.
 package clock
 
 import (
@@ -17,96 +17,98 @@
 )
 
 const (
-	// leastSuspension is from when on a difference between the two clocks counts: they are
-	// read one after the other, some microseconds apart.
-	leastSuspension = 20 * time.Millisecond
-	// readWithin is how long the reading of both may take; longer ones say nothing exact.
-	readWithin = 2 * time.Millisecond
-	// readTries bounds the tries.
-	readTries = 3
-	// syncInterval is how old the comparison may be that Now goes by. Whoever decides something
-	// after a wait calls Sync first.
+	// minSuspension is the smallest difference between the two clocks that counts as a
+	// suspension. They are read one after the other, some microseconds apart.
+	minSuspension = 20 * time.Millisecond
+	// maxReadTime bounds the time to read both clocks; the difference is too inexact if the
+	// read takes longer.
+	maxReadTime = 2 * time.Millisecond
+	// maxReadAttempts bounds the attempts to read both clocks.
+	maxReadAttempts = 3
+	// syncInterval is the maximum age of the comparison of the clocks that Now uses. Code that
+	// makes a decision after a wait calls Sync first.
 	syncInterval = 5 * time.Millisecond
 )
 
 var (
-	// suspended is for how long the VM has been suspended, in nanoseconds.
+	// suspended is the total time for which the VM was suspended, in nanoseconds.
 	suspended atomic.Int64
-	// syncedAt is when that was last looked at, by the steady clock, in nanoseconds since started.
-	syncedAt atomic.Int64
-	started  = time.Now()
+	// syncedAt is when Now last called Sync, on the monotonic clock, in nanoseconds since startedAt.
+	syncedAt  atomic.Int64
+	startedAt = time.Now()
 
 	mu sync.Mutex
-	// seen is how much further the clock that counts suspensions was when last looked at; known
-	// is false before the first look. Both are guarded by mu.
-	seen  time.Duration
-	known bool
+	// lastOffset is the last suspensionOffset that Sync read; hasOffset is false before the first
+	// read. Both are guarded by mu.
+	lastOffset time.Duration
+	hasOffset  bool
 )
 
 func init() { Sync() }
 
-// Now is the present moment.
+// Now returns the current time.
 func Now() time.Time {
 	now := time.Now()
-	if since := int64(now.Sub(started)); since-syncedAt.Load() >= int64(syncInterval) || since < syncedAt.Load() {
+	if since := int64(now.Sub(startedAt)); since-syncedAt.Load() >= int64(syncInterval) || since < syncedAt.Load() {
 		syncedAt.Store(since)
 		Sync()
 	}
 	return now.Add(Suspended())
 }
 
-// Since is the time that has passed since then.
+// Since returns the time elapsed since then.
 func Since(then time.Time) time.Duration { return Now().Sub(then) }
 
-// Until is the time that is left until then.
+// Until returns the time left until then.
 func Until(then time.Time) time.Duration { return then.Sub(Now()) }
 
-// Suspended is for how long the VM has been suspended in this life of the process, as far as was
-// looked at.
+// Suspended returns the total time for which the VM was suspended since the process started, as of the
+// last Sync.
 func Suspended() time.Duration { return time.Duration(suspended.Load()) }
 
-// Sync looks whether the VM was suspended. It costs three system calls.
+// Sync checks whether the VM was suspended since the last check. It costs three system calls.
 func Sync() {
 	mu.Lock()
 	defer mu.Unlock()
-	now, ok := ahead()
+	offset, ok := suspensionOffset()
 	switch {
 	case !ok:
-	case !known:
-		seen, known = now, true
-	case now-seen >= leastSuspension:
-		suspended.Add(int64(now - seen))
-		seen = now
+	case !hasOffset:
+		lastOffset, hasOffset = offset, true
+	case offset-lastOffset >= minSuspension:
+		suspended.Add(int64(offset - lastOffset))
+		lastOffset = offset
 	}
 }
 
-// Note adds a suspension that the system's clocks don't show.
+// Note records a suspension that the system's clocks don't show.
 func Note(d time.Duration) { suspended.Add(int64(d)) }
 
-// ahead is how much further the clock that counts suspensions is than the steady one; false when
-// that can't be told.
-func ahead() (time.Duration, bool) {
-	for range readTries {
-		before, err := read(unix.CLOCK_MONOTONIC)
+// suspensionOffset returns by how much the clock that includes suspensions is ahead of the monotonic
+// clock; false if it can't be determined.
+func suspensionOffset() (time.Duration, bool) {
+	for range maxReadAttempts {
+		before, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, false
 		}
-		counting, err := read(unix.CLOCK_BOOTTIME)
+		boottime, err := readClock(unix.CLOCK_BOOTTIME)
 		if err != nil {
 			return 0, false
 		}
-		after, err := read(unix.CLOCK_MONOTONIC)
+		after, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, false
 		}
-		if after-before <= readWithin {
-			return counting - before, true
+		if after-before <= maxReadTime {
+			return boottime - before, true
 		}
 	}
 	return 0, false
 }
 
-func read(id int32) (time.Duration, error) {
+// readClock reads one of the system's clocks.
+func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, err
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestSuspensionCounts: the steady clock stands still while a VM is suspended, this one does not.
+// TestSuspensionCounts: the monotonic clock is paused while a VM is suspended, this clock is not.
 func TestSuspensionCounts(t *testing.T) {
-	before, steady := Now(), time.Now()
+	before, monotonic := Now(), time.Now()
 	Note(10 * time.Second)
-	if passed := Since(before); passed < 10*time.Second || passed-time.Since(steady) > 10*time.Second+leastSuspension {
-		t.Errorf("%v passed over a suspension of 10 s", passed)
+	if elapsed := Since(before); elapsed < 10*time.Second || elapsed-time.Since(monotonic) > 10*time.Second+minSuspension {
+		t.Errorf("%v elapsed over a suspension of 10 s", elapsed)
 	}
 	if left := Until(before.Add(15 * time.Second)); left > 5*time.Second {
 		t.Errorf("%v left of 15 s", left)
@@ -20,28 +20,28 @@
 	}
 }
 
-// TestClocksRunAlike: while nothing is suspended, looks at the clocks find nothing.
-func TestClocksRunAlike(t *testing.T) {
+// TestSyncAddsNothingWithoutSuspension: while the VM is not suspended, Sync must not find suspensions.
+func TestSyncAddsNothingWithoutSuspension(t *testing.T) {
 	before := Suspended()
 	for range 1000 {
 		Sync()
 	}
 	if now := Suspended(); now != before {
-		t.Errorf("suspended for %v by 1000 looks", now-before)
+		t.Errorf("1000 calls of Sync found a suspension of %v", now-before)
 	}
-	if _, ok := ahead(); !ok {
+	if _, ok := suspensionOffset(); !ok {
 		t.Error("the clocks can't be read")
 	}
 }
 
-// BenchmarkNow names what a look at the time costs.
+// BenchmarkNow measures the cost of Now.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		Now()
 	}
 }
 
-// BenchmarkSync names what a look at both clocks costs.
+// BenchmarkSync measures the cost of comparing both clocks.
 func BenchmarkSync(b *testing.B) {
 	for b.Loop() {
 		Sync()
