--- a/internal/transport/meter.go
+++ b/internal/transport/meter.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Meter counts the bytes of payload that some connections carry, without the
-// headers of TCP and IP. It is safe for use by several goroutines.
+// Meter counts the payload bytes of connections, without TCP and IP headers. It
+// is safe for concurrent use.
 type Meter struct {
 	in  atomic.Int64
 	out atomic.Int64
@@ -16,18 +16,19 @@
 // Bytes returns the bytes received and sent so far.
 func (m *Meter) Bytes() (in, out int64) { return m.in.Load(), m.out.Load() }
 
-// Traffic counts a control daemon's bytes by their purpose.
+// Traffic counts a daemon's bytes by their purpose.
 type Traffic struct {
 	// Peers counts exchanges with other nodes' control daemons, and operators.
 	Peers Meter
-	// Local counts what stays on this VM: the entry's reading of the view.
+	// Local counts the traffic within this VM: the entry's reads of the view.
 	Local Meter
 	// Platform counts calls to the platform.
 	Platform Meter
-	// Upstreams counts probes and orders.
+	// Upstreams counts probes of upstreams and orders to them.
 	Upstreams Meter
 }
 
+// meteredConn counts the bytes of a connection.
 type meteredConn struct {
 	net.Conn
 	meter *Meter
@@ -47,10 +48,10 @@
 	return n, err
 }
 
-// DialFunc opens a connection, as http.Transport asks for it.
+// DialFunc opens a connection. It has the type of http.Transport.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Metered counts the bytes of the connections that dial opens.
+// Metered wraps dial to count the bytes of the connections that it opens.
 func Metered(dial DialFunc, m *Meter) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -61,8 +62,8 @@
 	}
 }
 
-// meteredListener counts the bytes of accepted connections, those from this
-// VM's own address apart.
+// meteredListener counts the bytes of accepted connections, separately for those
+// from this VM's own address.
 type meteredListener struct {
 	net.Listener
 	traffic *Traffic
@@ -81,6 +82,7 @@
 	return meteredConn{Conn: conn, meter: meter}, nil
 }
 
+// hostOf returns the host of an address; empty if it has none.
 func hostOf(a net.Addr) string {
 	host, _, err := net.SplitHostPort(a.String())
 	if err != nil {
--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -9,64 +9,68 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSilent means that nothing of an answer arrived for as long as its bound allows, or that the
-// whole of it took too long.
-var ErrSilent = errors.New("nothing of the answer arrived in time")
+// ErrSilent means that a response started too late or stalled, or that the complete response took too
+// long.
+var ErrSilent = errors.New("the response did not arrive in time")
 
-// Progress bounds a call by what arrives of its answer. Over a full link a large answer takes many
-// times as long as a small one; a bound on the whole of it would throw away what has arrived, and
-// the next try would carry it all again.
+// Progress bounds a call by the progress of its response. Over a saturated link a large response takes
+// many times as long as a small one. A bound on the complete response alone would discard what has
+// arrived, and the next attempt would transfer all of it again.
 type Progress struct {
-	pause time.Duration
-	timer *time.Timer
-	end   time.Time
-	stop  context.CancelCauseFunc
+	stallTimeout time.Duration
+	timer        *time.Timer
+	deadline     time.Time
+	cancel       context.CancelCauseFunc
 }
 
-// WithProgress returns a context that ends when the answer does not begin within first, when nothing
-// of it arrives for pause, or when it is not whole after most. Its cause is then ErrSilent. Calls with a
-// client of Peers tell it of arrivals, others by Arrived and Reader. The caller calls Stop when the call is over.
-func WithProgress(ctx context.Context, first, pause, most time.Duration) (context.Context, *Progress) {
-	ctx, stop := context.WithCancelCause(ctx)
-	p := &Progress{pause: pause, end: time.Now().Add(most), stop: stop}
-	p.timer = time.AfterFunc(min(first, most), func() { stop(ErrSilent) })
+// WithProgress returns a context that is cancelled with the cause ErrSilent if the response does not
+// start within startTimeout, if nothing of it arrives for stallTimeout, or if it is not complete after
+// maxDuration. Calls with a client of Peers report progress by themselves, other calls by Arrived and
+// Reader. The caller must call Stop when the call is over.
+func WithProgress(ctx context.Context, startTimeout, stallTimeout, maxDuration time.Duration) (context.Context, *Progress) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	p := &Progress{stallTimeout: stallTimeout, deadline: time.Now().Add(maxDuration), cancel: cancel}
+	p.timer = time.AfterFunc(min(startTimeout, maxDuration), func() { cancel(ErrSilent) })
 	return context.WithValue(ctx, progressKey{}, p), p
 }
 
-// Arrived gives the answer another pause, within the bound of the whole.
+// Arrived records that a part of the response arrived: it restarts the stall timeout, within the bound
+// on the complete response.
 func (p *Progress) Arrived() {
 	if p.timer.Stop() {
-		p.timer.Reset(min(p.pause, time.Until(p.end)))
+		p.timer.Reset(min(p.stallTimeout, time.Until(p.deadline)))
 	}
 }
 
-// Reader returns a reader of the answer's body that takes each arrival as progress.
+// Reader returns a reader of the response's body that records each read of data as progress.
 func (p *Progress) Reader(body io.Reader) io.Reader { return progressReader{p, body} }
 
-// Stop ends the context.
+// Stop cancels the context.
 func (p *Progress) Stop() {
 	p.timer.Stop()
-	p.stop(nil)
+	p.cancel(nil)
 }
 
+// progressReader records reads of a response's body as progress.
 type progressReader struct {
 	progress *Progress
 	body     io.Reader
 }
 
 // Read implements io.Reader.
-func (r progressReader) Read(into []byte) (int, error) {
-	n, err := r.body.Read(into)
+func (r progressReader) Read(buf []byte) (int, error) {
+	n, err := r.body.Read(buf)
 	if n > 0 {
 		r.progress.Arrived()
 	}
 	return n, err
 }
 
-// progressKey is where a context holds its Progress.
+// progressKey is the context key of the Progress.
 type progressKey struct{}
 
-// progressTransport tells the Progress of a call's context of each arrival.
+// progressTransport records the arrival of a response and of its body in the Progress of the request's
+// context, if there is one.
 type progressTransport struct{ inner http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -84,7 +88,7 @@
 	return resp, nil
 }
 
-// CloseIdleConnections is called by http.Client.
+// CloseIdleConnections closes the idle connections of the inner transport; http.Client calls it.
 func (t progressTransport) CloseIdleConnections() {
 	if inner, ok := t.inner.(interface{ CloseIdleConnections() }); ok {
 		inner.CloseIdleConnections()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -19,8 +19,8 @@
 	"github.com/marbleroad/marbleroad/internal/settings"
 )
 
-// MaxMessage bounds a message between our processes, bytes: a whole table at
-// the planned size is a few megabytes.
+// MaxMessage bounds a message between our processes, in bytes. A complete table
+// at the planned size is a few megabytes.
 const MaxMessage = 32 << 20
 
 const (
@@ -28,26 +28,27 @@
 	dialTimeout       = time.Second
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 90 * time.Second
-	// pingInterval finds peers that are cut off without a closed connection.
+	// pingInterval is the time without traffic after which a connection is
+	// checked, to detect peers that became unreachable without closing it.
 	pingInterval = 5 * time.Second
 	pingTimeout  = 2 * time.Second
 )
 
-// Dialer returns a dialer whose connections come from the IP number of the
-// given address, so that a VM with several is known by the one in its
-// settings. An empty or unspecified address leaves the choice to the system.
-func Dialer(from string) *net.Dialer {
+// Dialer returns a dialer whose connections come from the IP address of
+// localAddr, so that a VM with several addresses is seen under the one in its
+// settings. If localAddr is empty or unspecified, the system chooses.
+func Dialer(localAddr string) *net.Dialer {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	parsed, err := netip.ParseAddrPort(from)
+	parsed, err := netip.ParseAddrPort(localAddr)
 	if err == nil && !parsed.Addr().IsUnspecified() {
 		dialer.LocalAddr = &net.TCPAddr{IP: parsed.Addr().AsSlice()}
 	}
 	return dialer
 }
 
-// Peers makes listeners and clients for the traffic between our processes.
+// Peers creates listeners and clients for the traffic between our processes.
 type Peers struct {
-	// Traffic counts the bytes of the clients and listeners made here.
+	// Traffic counts the bytes of these clients and listeners.
 	Traffic Traffic
 
 	tls    *tls.Config
@@ -57,11 +58,11 @@
 	client     *http.Client
 }
 
-// NewPeers reads the TLS files; without them traffic is plain. Connections
-// come from the IP number of the address from.
-func NewPeers(s settings.TLS, from string) (*Peers, error) {
+// NewPeers reads the TLS files; without them traffic is plain TCP. Connections
+// come from the IP address of localAddr.
+func NewPeers(s settings.TLS, localAddr string) (*Peers, error) {
 	if s.PeerCert == "" {
-		return &Peers{dialer: Dialer(from)}, nil
+		return &Peers{dialer: Dialer(localAddr)}, nil
 	}
 	cert, err := tls.LoadX509KeyPair(s.PeerCert, s.PeerKey)
 	if err != nil {
@@ -69,13 +70,13 @@
 	}
 	pem, err := os.ReadFile(s.PeerCA)
 	if err != nil {
-		return nil, errors.Wrap(err, "read peer authority")
+		return nil, errors.Wrap(err, "read peer CA certificates")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, errors.Newf("%s holds no certificate", s.PeerCA)
 	}
-	return &Peers{dialer: Dialer(from), tls: &tls.Config{
+	return &Peers{dialer: Dialer(localAddr), tls: &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{cert},
 		RootCAs:      pool,
@@ -84,10 +85,10 @@
 	}}, nil
 }
 
-// TLS returns the TLS settings towards our own processes; nil for plain TCP.
+// TLS returns the TLS settings for our own processes; nil for plain TCP.
 func (p *Peers) TLS() *tls.Config { return p.tls.Clone() }
 
-// URL returns the base URL of a peer at an IP number and port.
+// URL returns the base URL of a peer at an IP address and port.
 func (p *Peers) URL(address string) string {
 	if p.tls == nil {
 		return "http://" + address
@@ -95,13 +96,14 @@
 	return "https://" + address
 }
 
-// Client returns the HTTP/2 client for peers. All callers share it, and so one
-// connection to each peer.
+// Client returns the HTTP/2 client for peers. All callers share it, and with it
+// one connection to each peer.
 func (p *Peers) Client() *http.Client {
 	p.clientOnce.Do(func() { p.client = p.newClient() })
 	return p.client
 }
 
+// newClient returns a client that counts traffic and records progress.
 func (p *Peers) newClient() *http.Client {
 	var protocols http.Protocols
 	protocols.SetHTTP2(true)
@@ -115,29 +117,30 @@
 	}}}
 }
 
-// ClientOptions are those of calls between nodes, whose answers have that many bytes
-// at most. Nothing is compressed: a compressor holds 0.8 MB, and a node that many
-// others called at once had 26 MB of its 54 MB heap from them (100 nodes starting).
-func ClientOptions(most int) []connect.ClientOption {
-	return []connect.ClientOption{connect.WithReadMaxBytes(most), connect.WithAcceptCompression(gzip, nil, nil)}
+// ClientOptions returns the options of calls between nodes whose responses have up to
+// maxBytes bytes. Compression is disabled: a compressor takes 0.8 MB, and compressors
+// took 26 MB of the 54 MB heap of a node that many others called at once, while 100
+// nodes started.
+func ClientOptions(maxBytes int) []connect.ClientOption {
+	return []connect.ClientOption{connect.WithReadMaxBytes(maxBytes), connect.WithAcceptCompression(gzip, nil, nil)}
 }
 
-// HandlerOptions are those of a service that nodes call, with questions of that many
-// bytes at most; as ClientOptions.
-func HandlerOptions(most int) []connect.HandlerOption {
-	return []connect.HandlerOption{connect.WithReadMaxBytes(most), connect.WithCompression(gzip, nil, nil)}
+// HandlerOptions returns the options of a service that nodes call with requests of up
+// to maxBytes bytes. Compression is disabled, as in ClientOptions.
+func HandlerOptions(maxBytes int) []connect.HandlerOption {
+	return []connect.HandlerOption{connect.WithReadMaxBytes(maxBytes), connect.WithCompression(gzip, nil, nil)}
 }
 
-// gzip is the name of connect's one compression.
+// gzip is the name of connect's only built-in compression.
 const gzip = "gzip"
 
 // Serve listens on the address and serves the handler until the server is closed.
 func (p *Peers) Serve(address string, handler http.Handler) (*callers.Server, error) {
-	inner, err := net.Listen("tcp", address)
+	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
 	}
-	listener := meteredListener{Listener: inner, traffic: &p.Traffic}
+	listener := meteredListener{Listener: tcp, traffic: &p.Traffic}
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(true)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -344,7 +344,7 @@
 mutant "an answer is bounded as a whole" internal/transport/progress.go \
   's/if p\.timer\.Stop\(\) \{/if false {/' ./platform TestAnswerThatKeepsComingIsReadToItsEnd
 mutant "an answer that creeps is never given up" internal/transport/progress.go \
-  's/min\(p\.pause, time\.Until\(p\.end\)\)/p.pause/' ./platform TestAnswerThatCreepsIsGivenUp
+  's/min\(p\.stallTimeout, time\.Until\(p\.deadline\)\)/p.stallTimeout/' ./platform TestAnswerThatCreepsIsGivenUp
 mutant "a node that starts again writes its record first" internal/cluster/records.go \
   's/registered = registered \|\| found/_ = found/' ./internal/cluster TestRestartedNodeKnowsTheOthersWithoutAWrite
 mutant "a page that fails ends the list" platform/store.go \
