--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire converts between the protocol's messages and the domain types.
+// Package wire converts between the messages of the control protocol and the domain
+// types.
 package wire
 
 import (
@@ -38,39 +39,41 @@
 	return &marbleroadv1.Cursor{Incarnation: c.Incarnation, Sequence: c.Sequence}
 }
 
-// ageUnit is the unit of ages in a witness table; small, so that most ages
-// take one byte.
+// ageUnit is the unit of ages in a witness table. Most ages take one byte in it.
 const ageUnit = 20 * time.Millisecond
 
-// WitnessTable encodes witnesses, which must be in the order of their VMs'
-// names. Ages count at now. The full list is left out when known is its epoch.
-func WitnessTable(all []presence.ProbeResult, now time.Time, known uint64) *marbleroadv1.WitnessTable {
+// WitnessTable encodes probe results, which must be sorted by the names of their
+// VMs. Ages are relative to now. The full list is left out if knownEpoch is its
+// epoch, as the receiver then has it.
+func WitnessTable(results []presence.ProbeResult, now time.Time, knownEpoch uint64) *marbleroadv1.WitnessTable {
 	out := &marbleroadv1.WitnessTable{
-		Epoch:    epochOf(all),
-		Ages:     make([]uint32, len(all)),
-		InFlight: make([]uint32, len(all)),
-		Queued:   make([]uint32, len(all)),
+		Epoch:    hashResults(results),
+		Ages:     make([]uint32, len(results)),
+		InFlight: make([]uint32, len(results)),
+		Queued:   make([]uint32, len(results)),
 	}
-	for i, w := range all {
-		out.Ages[i] = age(now.Sub(w.SentAt))
+	for i, w := range results {
+		out.Ages[i] = inAgeUnits(now.Sub(w.SentAt))
 		out.InFlight[i] = uint32(w.InFlight)
 		out.Queued[i] = uint32(w.Queued)
 	}
-	if out.Epoch == known {
+	if out.Epoch == knownEpoch {
 		return out
 	}
-	out.Full = make([]*marbleroadv1.Witness, len(all))
-	for i, w := range all {
+	out.Full = make([]*marbleroadv1.Witness, len(results))
+	for i, w := range results {
 		out.Full[i] = witnessMessage(w)
 	}
 	return out
 }
 
-func age(d time.Duration) uint32 {
+// inAgeUnits converts an age to units, rounded up.
+func inAgeUnits(d time.Duration) uint32 {
 	units := (max(d, 0) + ageUnit - 1) / ageUnit
 	return uint32(min(int64(units), math.MaxUint32))
 }
 
+// witnessMessage converts the fields of a probe result that the full list holds.
 func witnessMessage(w presence.ProbeResult) *marbleroadv1.Witness {
 	return &marbleroadv1.Witness{
 		Vm:         w.VM,
@@ -86,55 +89,57 @@
 	}
 }
 
-// epochOf hashes what the full list holds. It is never zero, the requester's
-// word for knowing none.
-func epochOf(all []presence.ProbeResult) uint64 {
-	d := xxhash.New()
+// hashResults returns the epoch of a list: a hash of what the full list holds. It
+// is never zero, which stands for no known list in a request.
+func hashResults(results []presence.ProbeResult) uint64 {
+	hash := xxhash.New()
 	var number [8]byte
-	add := func(n uint64) {
+	addNumber := func(n uint64) {
 		binary.LittleEndian.PutUint64(number[:], n)
-		_, _ = d.Write(number[:])
+		_, _ = hash.Write(number[:])
 	}
-	flag := func(b bool) {
+	addFlag := func(b bool) {
 		if b {
-			add(1)
+			addNumber(1)
 			return
 		}
-		add(0)
+		addNumber(0)
 	}
-	for _, w := range all {
-		add(uint64(len(w.VM)))
-		_, _ = d.WriteString(w.VM)
-		add(uint64(len(w.Group)))
-		_, _ = d.WriteString(w.Group)
-		add(w.Generation)
-		add(uint64(w.Rank))
-		add(uint64(w.Size))
-		add(w.Fence)
-		add(uint64(w.Slots))
-		flag(w.Ready)
-		flag(w.Leaving)
-		flag(w.Terminated)
+	for _, w := range results {
+		addNumber(uint64(len(w.VM)))
+		_, _ = hash.WriteString(w.VM)
+		addNumber(uint64(len(w.Group)))
+		_, _ = hash.WriteString(w.Group)
+		addNumber(w.Generation)
+		addNumber(uint64(w.Rank))
+		addNumber(uint64(w.Size))
+		addNumber(w.Fence)
+		addNumber(uint64(w.Slots))
+		addFlag(w.Ready)
+		addFlag(w.Leaving)
+		addFlag(w.Terminated)
 	}
-	return max(d.Sum64(), 1)
+	return max(hash.Sum64(), 1)
 }
 
-// ErrTable means that a witness table does not fit the list that is known.
-var ErrTable = errors.New("witness table does not fit the known list")
+// ErrTable means that a witness table does not match the known full list.
+var ErrTable = errors.New("witness table does not match the known list")
 
-// WitnessReader decodes one peer's witness tables. It belongs to one goroutine.
+// WitnessReader decodes the witness tables of one peer. It must be used by one
+// goroutine only.
 type WitnessReader struct {
 	epoch uint64
 	full  []*marbleroadv1.Witness
 }
 
-// Epoch returns what to name in the next request.
+// Epoch returns the epoch of the known full list, to send in the next request;
+// zero if there is none.
 func (r *WitnessReader) Epoch() uint64 { return r.epoch }
 
-// Read decodes a table. asked is when the request that the table answers was
-// sent: a probe was sent no earlier than its age before that, so counting back
-// from asked never makes a witness look fresher than it is.
-func (r *WitnessReader) Read(m *marbleroadv1.WitnessTable, asked time.Time) ([]presence.ProbeResult, error) {
+// Read decodes a table. requestedAt is when the request for the table was sent.
+// The ages are relative to a later time, that of the response, so subtracting them
+// from requestedAt never makes a probe result look newer than it is.
+func (r *WitnessReader) Read(m *marbleroadv1.WitnessTable, requestedAt time.Time) ([]presence.ProbeResult, error) {
 	if m == nil {
 		return nil, nil
 	}
@@ -163,7 +168,7 @@
 			InFlight:   int(m.GetInFlight()[i]),
 			Queued:     int(m.GetQueued()[i]),
 			Slots:      int(w.GetSlots()),
-			SentAt:     asked.Add(-time.Duration(m.GetAges()[i]) * ageUnit),
+			SentAt:     requestedAt.Add(-time.Duration(m.GetAges()[i]) * ageUnit),
 		}
 	}
 	return out, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,23 +12,23 @@
 	_ "github.com/marbleroad/marbleroad/test/seed"
 )
 
-// TestWitnessTableRoundTrip sends changing witnesses through tables, with
-// delays and restarts of the reader: what arrives is what was sent, and no
-// witness ever looks fresher than it is.
+// TestWitnessTableRoundTrip encodes and decodes changing probe results, with delays
+// and restarts of the reader. The decoded results must equal the encoded ones, and
+// none may look newer than it is.
 func TestWitnessTableRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		reader := &WitnessReader{}
-		var all []presence.ProbeResult
+		var sent []presence.ProbeResult
 		for i := range rapid.IntRange(0, 5).Draw(t, "vms") {
-			all = append(all, presence.ProbeResult{VM: fmt.Sprint("vm-", i), SentAt: now})
+			sent = append(sent, presence.ProbeResult{VM: fmt.Sprint("vm-", i), SentAt: now})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				if len(all) == 0 {
+				if len(sent) == 0 {
 					return
 				}
-				w := &all[rapid.IntRange(0, len(all)-1).Draw(t, "i")]
+				w := &sent[rapid.IntRange(0, len(sent)-1).Draw(t, "i")]
 				w.Group = rapid.SampledFrom([]string{"", "g-0", "g-1"}).Draw(t, "group")
 				w.Generation = rapid.Uint64Range(0, 3).Draw(t, "generation")
 				w.Ready = rapid.Bool().Draw(t, "ready")
@@ -41,36 +41,38 @@
 			},
 			"restart": func(*rapid.T) { reader = &WitnessReader{} },
 			"read": func(t *rapid.T) {
-				asked := now
+				requestedAt := now
 				now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "delay ms")) * time.Millisecond)
-				got, err := reader.Read(WitnessTable(all, now, reader.Epoch()), asked)
+				received, err := reader.Read(WitnessTable(sent, now, reader.Epoch()), requestedAt)
 				if err != nil {
 					t.Fatal(err)
 				}
-				for i, w := range got {
-					if w.SentAt.After(all[i].SentAt) {
-						t.Fatalf("%s looks %s fresher than it is", w.VM, w.SentAt.Sub(all[i].SentAt))
+				for i, w := range received {
+					if w.SentAt.After(sent[i].SentAt) {
+						t.Fatalf("%s looks %s newer than it is", w.VM, w.SentAt.Sub(sent[i].SentAt))
 					}
-					w.SentAt = all[i].SentAt
-					if w != all[i] {
-						t.Fatalf("got %+v, want %+v", w, all[i])
+					w.SentAt = sent[i].SentAt
+					if w != sent[i] {
+						t.Fatalf("got %+v, want %+v", w, sent[i])
 					}
 				}
-				if len(got) != len(all) {
-					t.Fatalf("%d witnesses, want %d", len(got), len(all))
+				if len(received) != len(sent) {
+					t.Fatalf("%d probe results, want %d", len(received), len(sent))
 				}
 			},
 		})
 	})
 }
 
-func TestForeignTableIsRefused(t *testing.T) {
+// TestMismatchedWitnessTableIsRefused: a table with ages but without the full list of its epoch must be
+// refused and leave no known epoch.
+func TestMismatchedWitnessTableIsRefused(t *testing.T) {
 	reader := &WitnessReader{}
-	bad := &marbleroadv1.WitnessTable{Epoch: 7, Ages: []uint32{1, 2}}
-	if _, err := reader.Read(bad, time.Now()); err == nil {
-		t.Error("ages without VMs were taken")
+	mismatched := &marbleroadv1.WitnessTable{Epoch: 7, Ages: []uint32{1, 2}}
+	if _, err := reader.Read(mismatched, time.Now()); err == nil {
+		t.Error("ages without VMs were accepted")
 	}
 	if reader.Epoch() != 0 {
-		t.Error("a refused table is remembered")
+		t.Error("the epoch of a refused table is kept")
 	}
 }
