--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,7 +1,7 @@
-// Package kernel is the micro-kernel of the daemons: it owns the lifecycle of
-// named services and lets them find each other by name. Services are
-// provisioned (they look each other up), started in the order of their
-// registration and stopped in reverse.
+// Package kernel manages the services of a daemon: it controls their lifecycle
+// and lets them look each other up by name. Services are first provisioned (they
+// look each other up), then started in the order of their registration, and
+// stopped in reverse order.
 package kernel
 
 import (
@@ -11,32 +11,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrServiceNotFound is returned when no service of the wanted name and type exists.
+// ErrServiceNotFound is returned when no service has the requested name and type.
 var ErrServiceNotFound = errors.New("service not found")
 
 // ErrDuplicateService is returned when a name is registered twice.
 var ErrDuplicateService = errors.New("service registered twice")
 
-// Service is one part of a daemon. Start must not block; Stop returns when
-// the service has ended or ctx is done. The kernel calls each at most once.
+// Service is one component of a daemon. Start must not block; Stop returns when
+// the service has stopped or ctx is done. The kernel calls each at most once.
 type Service interface {
-	// Name is the name that other services look up.
+	// Name returns the name under which other services look this one up.
 	Name() string
-	// Start begins the work. Services registered earlier have been started.
+	// Start starts the service. Services registered earlier are already started.
 	Start(ctx context.Context) error
-	// Stop ends the work. Services registered later have been stopped.
+	// Stop stops the service. Services registered later are already stopped.
 	Stop(ctx context.Context) error
 }
 
-// Provisioner is a service that needs others. The kernel provisions all
+// Provisioner is a service that depends on others. The kernel provisions all
 // services before it starts the first.
 type Provisioner interface {
-	// Provision looks up the services that this one needs.
+	// Provision looks up the services that this one depends on.
 	Provision(k *Kernel) error
 }
 
-// Kernel holds the services of one process. Its methods may be called from
-// any goroutine.
+// Kernel holds the services of one process. It is safe for concurrent use.
 type Kernel struct {
 	mu      sync.Mutex
 	order   []Service
@@ -49,7 +48,7 @@
 	return &Kernel{byName: make(map[string]Service)}
 }
 
-// Register adds a service. Start order is registration order.
+// Register adds a service. Services are started in the order of registration.
 func (k *Kernel) Register(s Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,19 +60,19 @@
 	return nil
 }
 
-// Lookup finds a service by name and type.
+// Lookup returns the service with the given name and type.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	found, ok := k.byName[name].(T)
+	service, ok := k.byName[name].(T)
 	if !ok {
-		return found, errors.Wrapf(ErrServiceNotFound, "%s", name)
+		return service, errors.Wrapf(ErrServiceNotFound, "%s", name)
 	}
-	return found, nil
+	return service, nil
 }
 
-// Start provisions all services and starts them in order. When one fails,
-// those already started are stopped again.
+// Start provisions all services and starts them in order. If one fails to start,
+// it stops those already started.
 func (k *Kernel) Start(ctx context.Context) error {
 	for _, s := range k.services() {
 		p, ok := s.(Provisioner)
@@ -94,28 +93,30 @@
 	return nil
 }
 
-// Stop stops the started services in reverse order and returns the first
-// error, after trying all.
+// Stop stops the started services in reverse order. It stops all of them, even if
+// one fails, and returns the first error with the others attached to it.
 func (k *Kernel) Stop(ctx context.Context) error {
-	all := k.services()
+	services := k.services()
 	k.mu.Lock()
 	n := k.started
 	k.started = 0
 	k.mu.Unlock()
-	var first error
+	var firstErr error
 	for i := n - 1; i >= 0; i-- {
-		err := all[i].Stop(ctx)
-		first = errors.CombineErrors(first, errors.Wrapf(err, "stop %s", all[i].Name()))
+		err := services[i].Stop(ctx)
+		firstErr = errors.CombineErrors(firstErr, errors.Wrapf(err, "stop %s", services[i].Name()))
 	}
-	return first
+	return firstErr
 }
 
+// services returns a copy of the services in the order of registration.
 func (k *Kernel) services() []Service {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return append([]Service(nil), k.order...)
 }
 
+// setStarted sets the number of services that Stop has to stop.
 func (k *Kernel) setStarted(n int) {
 	k.mu.Lock()
 	k.started = n
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// recorder is a service that notes what happens to it.
+// recorder is a service that logs the calls of its methods.
 type recorder struct {
 	name  string
 	needs string
@@ -40,6 +40,7 @@
 	return nil
 }
 
+// run registers, starts and stops the services, and returns their log.
 func run(t *testing.T, services ...*recorder) (string, error) {
 	t.Helper()
 	var log []string
@@ -57,6 +58,8 @@
 	return strings.Join(log, ", "), err
 }
 
+// TestLifecycle checks the order of provisioning, start and stop, also when a
+// service fails to start, and the errors for missing and duplicate names.
 func TestLifecycle(t *testing.T) {
 	log, err := run(t, &recorder{name: "a", needs: "b"}, &recorder{name: "b"})
 	if err != nil || log != "provision a, provision b, start a, start b, stop b, stop a" {
