--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Note records a suspension that the system's clocks don't show.
-func Note(d time.Duration) { suspended.Add(int64(d)) }
+// RecordSuspension records a suspension that the system's clocks don't show.
+func RecordSuspension(d time.Duration) { suspended.Add(int64(d)) }
 
 // suspensionOffset returns by how much the clock that includes suspensions is ahead of the monotonic
 // clock; false if it can't be determined.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 // TestSuspensionCounts: the monotonic clock is paused while a VM is suspended, this clock is not.
 func TestSuspensionCounts(t *testing.T) {
 	before, monotonic := Now(), time.Now()
-	Note(10 * time.Second)
+	RecordSuspension(10 * time.Second)
 	if elapsed := Since(before); elapsed < 10*time.Second || elapsed-time.Since(monotonic) > 10*time.Second+minSuspension {
 		t.Errorf("%v elapsed over a suspension of 10 s", elapsed)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -192,8 +192,8 @@
 // time than it saves in bytes.
 var compressLarge = connect.WithCompressMinBytes(minCompressBytes)
 
-// limitMessageSize rejects messages larger than transport.MaxMessage.
-var limitMessageSize = connect.WithReadMaxBytes(transport.MaxMessage)
+// limitMessageSize rejects messages larger than transport.MaxMessageBytes.
+var limitMessageSize = connect.WithReadMaxBytes(transport.MaxMessageBytes)
 
 // minCompressBytes is the size from which a response is compressed.
 const minCompressBytes = 2048
--- a/internal/entry/source.go
+++ b/internal/entry/source.go
@@ -210,7 +210,7 @@
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	address := s.config.Controls[s.controlIndex]
-	client := marbleroadv1connect.NewViewServiceClient(s.client, s.peers.URL(address), connect.WithReadMaxBytes(transport.MaxMessage))
+	client := marbleroadv1connect.NewViewServiceClient(s.client, s.peers.URL(address), connect.WithReadMaxBytes(transport.MaxMessageBytes))
 	reader := s.witnessReaders[address]
 	if reader == nil {
 		reader = &wire.WitnessReader{}
--- a/internal/feed/suspended_test.go
+++ b/internal/feed/suspended_test.go
@@ -16,7 +16,7 @@
 func TestVerificationAgesDuringSuspension(t *testing.T) {
 	l := &Leader{log: testLog(t), failedUntil: make(map[string]time.Time)}
 	_, verifiedAt, err := follow(context.Background(), l, cluster.Record{ID: "leader"}, catalogQuery, func(context.Context) (bool, time.Duration, error) {
-		clock.Note(10 * time.Second)
+		clock.RecordSuspension(10 * time.Second)
 		return true, 0, nil
 	})
 	if !errors.Is(err, errLeaderUnusable) {
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("status %d before", resp.StatusCode)
 	}
 	s.store.SetDown(true)
-	clock.Note(10 * time.Second)
+	clock.RecordSuspension(10 * time.Second)
 	if resp := s.send(t, http.MethodGet, "/read/a", nil); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("status %d for a key that was last verified 10 s ago", resp.StatusCode)
 	}
@@ -35,7 +35,7 @@
 	const suspension = 5 * time.Second
 	s := newTestSite(t, options{heads: 3, observe: func(o groupengine.Observation) {
 		if o.Kind == groupengine.Arrived && o.Request == "sleeps" {
-			clock.Note(suspension)
+			clock.RecordSuspension(suspension)
 		}
 	}})
 	for _, vm := range s.heads {
--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSilent means that a response started too late or stalled, or that the complete response took too
+// ErrStalled means that a response started too late or stalled, or that the complete response took too
 // long.
-var ErrSilent = errors.New("the response did not arrive in time")
+var ErrStalled = errors.New("the response did not arrive in time")
 
 // Progress bounds a call by the progress of its response. Over a saturated link a large response takes
 // many times as long as a small one. A bound on the complete response alone would discard what has
@@ -23,20 +23,20 @@
 	cancel       context.CancelCauseFunc
 }
 
-// WithProgress returns a context that is cancelled with the cause ErrSilent if the response does not
+// WithProgress returns a context that is cancelled with the cause ErrStalled if the response does not
 // start within startTimeout, if nothing of it arrives for stallTimeout, or if it is not complete after
-// maxDuration. Calls with a client of Peers report progress by themselves, other calls by Arrived and
+// maxDuration. Calls with a client of Peers report progress by themselves, other calls by RecordArrival and
 // Reader. The caller must call Stop when the call is over.
 func WithProgress(ctx context.Context, startTimeout, stallTimeout, maxDuration time.Duration) (context.Context, *Progress) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	p := &Progress{stallTimeout: stallTimeout, deadline: time.Now().Add(maxDuration), cancel: cancel}
-	p.timer = time.AfterFunc(min(startTimeout, maxDuration), func() { cancel(ErrSilent) })
+	p.timer = time.AfterFunc(min(startTimeout, maxDuration), func() { cancel(ErrStalled) })
 	return context.WithValue(ctx, progressKey{}, p), p
 }
 
-// Arrived records that a part of the response arrived: it restarts the stall timeout, within the bound
+// RecordArrival records that a part of the response arrived: it restarts the stall timeout, within the bound
 // on the complete response.
-func (p *Progress) Arrived() {
+func (p *Progress) RecordArrival() {
 	if p.timer.Stop() {
 		p.timer.Reset(min(p.stallTimeout, time.Until(p.deadline)))
 	}
@@ -61,7 +61,7 @@
 func (r progressReader) Read(buf []byte) (int, error) {
 	n, err := r.body.Read(buf)
 	if n > 0 {
-		r.progress.Arrived()
+		r.progress.RecordArrival()
 	}
 	return n, err
 }
@@ -80,7 +80,7 @@
 	if err != nil || !ok {
 		return resp, err
 	}
-	p.Arrived()
+	p.RecordArrival()
 	resp.Body = struct {
 		io.Reader
 		io.Closer
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -19,9 +19,9 @@
 	"github.com/marbleroad/marbleroad/internal/settings"
 )
 
-// MaxMessage bounds a message between our processes, in bytes. A complete table
+// MaxMessageBytes bounds a message between our processes, in bytes. A complete table
 // at the planned size is a few megabytes.
-const MaxMessage = 32 << 20
+const MaxMessageBytes = 32 << 20
 
 const (
 	maxHeaderBytes    = 64 << 10
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -122,8 +122,8 @@
 	return max(hash.Sum64(), 1)
 }
 
-// ErrTable means that a witness table does not match the known full list.
-var ErrTable = errors.New("witness table does not match the known list")
+// ErrTableMismatch means that a witness table does not match the known full list.
+var ErrTableMismatch = errors.New("witness table does not match the known list")
 
 // WitnessReader decodes the witness tables of one peer. It must be used by one
 // goroutine only.
@@ -151,7 +151,7 @@
 	if len(m.GetAges()) != n || len(m.GetInFlight()) != n || len(m.GetQueued()) != n {
 		r.epoch = 0
 		r.full = nil
-		return nil, errors.Wrapf(ErrTable, "%d ages for %d VMs", len(m.GetAges()), n)
+		return nil, errors.Wrapf(ErrTableMismatch, "%d ages for %d VMs", len(m.GetAges()), n)
 	}
 	out := make([]presence.ProbeResult, n)
 	for i, w := range r.full {
