--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -24,9 +24,10 @@
 
 // Headers of the callers' protocol.
 const (
-	// TimeoutHeader is a duration such as 1500ms, counted from the arrival.
+	// TimeoutHeader is a duration such as 1500ms, counted from the time at which
+	// the body has been read.
 	TimeoutHeader = "Marbleroad-Timeout"
-	// DeadlineHeader is a time in RFC 3339.
+	// DeadlineHeader is a time in RFC 3339. It takes precedence over TimeoutHeader.
 	DeadlineHeader = "Marbleroad-Deadline"
 	// NonIdempotentHeader with the value "yes" marks a request that must run at most once.
 	NonIdempotentHeader = "Marbleroad-Non-Idempotent"
@@ -264,7 +265,8 @@
 		if err != nil {
 			return invalidInput(http.StatusBadRequest, codeBadRequest, "Marbleroad-Deadline is not a moment in RFC 3339")
 		}
-		// From here on the deadline is measured on the monotonic clock.
+		// From here on the deadline is measured by package clock, so that setting
+		// the wall clock doesn't move it.
 		c.deadline = now.Add(time.Until(moment))
 	}
 	if !c.deadline.After(now) {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -26,9 +26,11 @@
 
 // teamLimits enforces the teams' limits at this entry. mu guards all fields.
 type teamLimits struct {
-	mu         sync.Mutex
-	limiter    *admission.Limiter
-	meters     map[string]*demandMeter
+	mu      sync.Mutex
+	limiter *admission.Limiter
+	// meters holds the demand meter of each limit subject by its name.
+	meters map[string]*demandMeter
+	// measuredAt is when demand last updated the rates of the meters.
 	measuredAt time.Time
 }
 
@@ -112,8 +114,9 @@
 	m.count++
 }
 
-// release ends a call that was charged. With refund it also returns the charge
-// to the rate limits, as the call was refused later.
+// release returns the concurrency that acquire charged for a call. If refund is
+// true, it also returns the charge to the rate limits; this is for calls that are
+// refused after acquire.
 func (l *teamLimits) release(now time.Time, subjects []limitSubject, refund bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -102,8 +102,8 @@
 	inFlight sync.WaitGroup
 	// inFlightMu keeps inFlight.Add from being called after inFlight.Wait.
 	inFlightMu sync.RWMutex
-	// abortCtx ends all calls when it is cancelled, at the end of the time that
-	// a stop waits for them.
+	// abortCtx ends all calls when it is cancelled. Stop cancels it after it has
+	// waited for them.
 	abortCtx   context.Context
 	abortCalls context.CancelFunc
 
--- a/internal/entry/source.go
+++ b/internal/entry/source.go
@@ -66,7 +66,8 @@
 	items        *item.Set
 	probeResults *presence.Registry
 	builder      *view.Builder
-	// listener is looked up by name before the reading goroutine starts.
+	// listener is the Server. It is looked up by name before the reading goroutine
+	// starts.
 	listener viewListener
 
 	snapshot atomic.Pointer[view.Snapshot]
@@ -135,10 +136,12 @@
 	return nil
 }
 
-// Snapshot returns the current snapshot; nil before the first read.
+// Snapshot returns the current snapshot. It is nil until the first read of the
+// view has finished, even if that read failed.
 func (s *Source) Snapshot() *view.Snapshot { return s.snapshot.Load() }
 
-// Share returns this entry's share of the limits; nil before the first read.
+// Share returns this entry's share of the limits; nil before the first
+// successful read.
 func (s *Source) Share() *Share { return s.share.Load() }
 
 // Loaded reports whether the table has been read at least once.
@@ -159,8 +162,9 @@
 	}
 }
 
-// refresh reads the view once and rebuilds the snapshot, even if the read
-// failed: probe results expire with time.
+// refresh reads the view once, rebuilds the snapshot and passes it to the
+// listener. It does so even if the read failed, as probe results expire with
+// time.
 func (s *Source) refresh(ctx context.Context) {
 	s.returnToPreferred()
 	err := s.readView(ctx)
