--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -38,8 +38,9 @@
 	startedAt = time.Now()
 
 	mu sync.Mutex
-	// lastOffset is the last suspensionOffset that Sync read; hasOffset is false before the first
-	// read. Both are guarded by mu.
+	// lastOffset is the suspensionOffset up to which suspensions are counted: the first one that Sync
+	// read, then the one at the last counted suspension. Differences below minSuspension don't change
+	// it, so they add up. hasOffset is false before the first read. Both are guarded by mu.
 	lastOffset time.Duration
 	hasOffset  bool
 )
