--- a/internal/transport/meter.go
+++ b/internal/transport/meter.go
@@ -18,9 +18,11 @@
 
 // Traffic counts a daemon's bytes by their purpose.
 type Traffic struct {
-	// Peers counts exchanges with other nodes' control daemons, and operators.
+	// Peers counts all traffic of the shared client, and connections accepted from
+	// other VMs: those of other nodes and of operators.
 	Peers Meter
-	// Local counts the traffic within this VM: the entry's reads of the view.
+	// Local counts connections accepted from this VM itself: the entry's reads of
+	// the view.
 	Local Meter
 	// Platform counts calls to the platform.
 	Platform Meter
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -27,9 +27,11 @@
 	maxHeaderBytes    = 64 << 10
 	dialTimeout       = time.Second
 	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 90 * time.Second
-	// pingInterval is the time without traffic after which a connection is
-	// checked, to detect peers that became unreachable without closing it.
+	// idleTimeout is how long clients and servers keep an idle connection open.
+	idleTimeout = 90 * time.Second
+	// pingInterval is the time without traffic after which a client pings the peer,
+	// to detect peers that became unreachable without closing the connection. If
+	// there is no response within pingTimeout, the connection is closed.
 	pingInterval = 5 * time.Second
 	pingTimeout  = 2 * time.Second
 )
