--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -43,8 +43,8 @@
 const ageUnit = 20 * time.Millisecond
 
 // WitnessTable encodes probe results, which must be sorted by the names of their
-// VMs. Ages are relative to now. The full list is left out if knownEpoch is its
-// epoch, as the receiver then has it.
+// VMs. Ages are relative to now. The full list holds all fields but the ages and
+// the loads. It is left out if knownEpoch is its epoch, as the receiver then has it.
 func WitnessTable(results []presence.ProbeResult, now time.Time, knownEpoch uint64) *marbleroadv1.WitnessTable {
 	out := &marbleroadv1.WitnessTable{
 		Epoch:    hashResults(results),
@@ -67,7 +67,8 @@
 	return out
 }
 
-// inAgeUnits converts an age to units, rounded up.
+// inAgeUnits converts an age to units. It rounds up, so that no probe result looks
+// newer than it is.
 func inAgeUnits(d time.Duration) uint32 {
 	units := (max(d, 0) + ageUnit - 1) / ageUnit
 	return uint32(min(int64(units), math.MaxUint32))
@@ -122,7 +123,9 @@
 	return max(hash.Sum64(), 1)
 }
 
-// ErrTableMismatch means that a witness table does not match the known full list.
+// ErrTableMismatch means that a witness table does not have exactly one age and
+// one load for each VM of the full list: the list in the table, or the known one if
+// the epoch is the same.
 var ErrTableMismatch = errors.New("witness table does not match the known list")
 
 // WitnessReader decodes the witness tables of one peer. It must be used by one
