--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -18,7 +18,8 @@
 var ErrDuplicateService = errors.New("service registered twice")
 
 // Service is one component of a daemon. Start must not block; Stop returns when
-// the service has stopped or ctx is done. The kernel calls each at most once.
+// the service has stopped or ctx is done. The kernel calls each of the two at most
+// once.
 type Service interface {
 	// Name returns the name under which other services look this one up.
 	Name() string
