--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -55,14 +55,15 @@
 
 // base holds what all daemons have in common.
 type base struct {
-	path     string
-	program  settings.Program
-	settings *settings.Settings
-	log      *event.Logger
-	metrics  *metrics.Registry
-	tracer   *tracing.Tracer
-	peers    *transport.Peers
-	platform *platformapi.Client
+	// settingsPath is the settings file, which a reload reads again.
+	settingsPath string
+	program      settings.Program
+	settings     *settings.Settings
+	log          *event.Logger
+	metrics      *metrics.Registry
+	tracer       *tracing.Tracer
+	peers        *transport.Peers
+	platform     *platformapi.Client
 }
 
 // Main runs the command line of a daemon and returns the exit code.
@@ -145,7 +146,7 @@
 }
 
 // run starts the daemon and returns when it has stopped.
-func run(program settings.Program, path string, s *settings.Settings) error {
+func run(program settings.Program, settingsPath string, s *settings.Settings) error {
 	stops, reloads := catchSignals()
 	out := event.NewAsync(os.Stdout)
 	defer out.Close()
@@ -164,14 +165,14 @@
 		return errors.Mark(err, settings.ErrInvalid)
 	}
 	b := base{
-		path:     path,
-		program:  program,
-		settings: s,
-		log:      log,
-		metrics:  metrics.NewRegistry(),
-		tracer:   tracer,
-		peers:    peers,
-		platform: platformapi.New(s.Platform.URL, tracer.Transport("platform", newTransport(localAddr, platformIdleConns, &peers.Traffic.Platform)), s.Platform.Timeout),
+		settingsPath: settingsPath,
+		program:      program,
+		settings:     s,
+		log:          log,
+		metrics:      metrics.NewRegistry(),
+		tracer:       tracer,
+		peers:        peers,
+		platform:     platformapi.New(s.Platform.URL, tracer.Transport("platform", newTransport(localAddr, platformIdleConns, &peers.Traffic.Platform)), s.Platform.Timeout),
 	}
 	k, err := b.assemble(program)
 	if err != nil {
@@ -184,7 +185,8 @@
 	return b.runUntilSignal(k, stops)
 }
 
-// maxPendingSignals bounds the stop signals that wait to be handled; further ones have no effect.
+// maxPendingSignals is the number of stop signals that wait until they are handled: none is before the
+// services have started. Further ones are dropped; in a series of signals they carry no new information.
 const maxPendingSignals = 4
 
 // catchSignals queues stop and reload signals. It must be called before anything else, as a reload
@@ -282,7 +284,7 @@
 		Interval:      s.Entry.ViewInterval,
 		Window:        s.Presence.Window,
 	}, b.log, b.peers)
-	return assemble(
+	return newKernel(
 		admin.New(s.Entry.Admin, b.metrics, entry.ServerName, s.Debug.Pprof),
 		source,
 		server,
@@ -332,11 +334,11 @@
 		Platform: b.platform,
 		Engine:   engineapi.New(newTransport(s.Control.Listen, probeIdleConns, &b.peers.Traffic.Upstreams)),
 	})
-	return assemble(admin.New(s.Control.Admin, b.metrics, control.ServiceName, s.Debug.Pprof), c)
+	return newKernel(admin.New(s.Control.Admin, b.metrics, control.ServiceName, s.Debug.Pprof), c)
 }
 
-// assemble registers the services in a new kernel, which starts them in this order.
-func assemble(services ...kernel.Service) (*kernel.Kernel, error) {
+// newKernel registers the services in a new kernel, which starts them in this order.
+func newKernel(services ...kernel.Service) (*kernel.Kernel, error) {
 	k := kernel.New()
 	for _, s := range services {
 		if err := k.Register(s); err != nil {
@@ -381,7 +383,7 @@
 // can change without interrupting a request take effect: the log level and rate.
 func (b base) reloadOnSignal(signals <-chan os.Signal) {
 	for range signals {
-		s, err := settings.Load(b.path, b.program)
+		s, err := settings.Load(b.settingsPath, b.program)
 		if err == nil {
 			err = b.log.SetLevel(s.Log.Level)
 			b.log.SetRate(s.Log.Rate)
@@ -390,8 +392,9 @@
 	}
 }
 
-// Control may use 128 MB of a node. The garbage collector therefore runs half as
-// often as by default, and more often near the soft limit.
+// The control daemon may use 128 MB of a node. The garbage collector therefore runs
+// half as often as by default, which takes more memory, and more often when the
+// memory of the Go runtime comes near softMemoryLimit.
 const (
 	collectorPercent = 200
 	softMemoryLimit  = 88 << 20 // bytes
@@ -403,8 +406,9 @@
 	debug.SetMemoryLimit(softMemoryLimit)
 }
 
-// stopLimit returns the bound of the entire stop; the services have their own,
-// shorter limits.
+// stopLimit returns the bound of the entire stop. It is the same sum for all daemons:
+// where a daemon has no [entry] section, the defaults of its keys count. The services
+// have their own, shorter limits.
 func (b base) stopLimit() time.Duration {
 	return b.settings.Entry.BalancerDelay + b.settings.Entry.ShutdownLimit + controlStopLimit
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -137,7 +137,7 @@
 		Suspects:      suspects,
 	}))
 	adminServer.Take(inspect.ReleasePath, inspect.Release(suspects))
-	return assemble(
+	return newKernel(
 		startup.NewWatch(b.log, b.metrics,
 			startup.Requirement{Name: "configuration", Met: func() bool { return catalogCache.Catalog() != nil }},
 			startup.Requirement{Name: "upstreams", Met: func() bool { return directory.Snapshot() != nil }},
@@ -165,7 +165,8 @@
 // Size implements feed.Nodes.
 func (n deferredNodes) Size() int { return (*n.cluster).Size() }
 
-// DomainNodes implements feed.Nodes.
+// DomainNodes implements feed.Nodes. It returns false until the nodes' records have
+// been read.
 func (n deferredNodes) DomainNodes() ([]cluster.Record, bool) { return (*n.cluster).DomainNodes() }
 
 // gatewayConfig returns the settings of the gateway.
