--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -83,7 +83,7 @@
 	// Size is the number of VMs of a group.
 	Size int
 	// Share is the expected fraction of the service's VMs that the model's work
-	// takes, 0 to 1.
+	// takes up, 0 to 1.
 	Share float64
 	// Pace is a factor by which all times of the group are multiplied; below 1 is faster.
 	Pace float64
@@ -172,11 +172,14 @@
 
 // Catalog is one version of the configuration, indexed for lookups.
 type Catalog struct {
-	version  uint64
-	limits   Limits
-	keys     map[string]Team
+	version uint64
+	limits  Limits
+	// keys maps each key to its team.
+	keys map[string]Team
+	// hosts maps each host to its routes by path prefix.
 	hosts    map[string]map[string]*Route
 	services map[string]*Service
+	// routes is the number of routes.
 	routes   int
 	document []byte
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -73,6 +73,8 @@
 	}
 }
 
+// TestInvalidCatalogsAreRejected checks that New returns ErrInvalid for a route with an invalid prefix,
+// without a target service, or with an unknown one.
 func TestInvalidCatalogsAreRejected(t *testing.T) {
 	for name, r := range map[string]Route{
 		"no slash":   {Prefix: "/a", Targets: []Target{{"s", 1}}},
--- a/internal/catalog/keeper.go
+++ b/internal/catalog/keeper.go
@@ -33,7 +33,8 @@
 	Catalog *Catalog
 	// Revision is the source's revision; a watch that starts from it misses no change.
 	Revision uint64
-	// VerifiedAt is when the call was sent whose response verified this result.
+	// VerifiedAt is when the call that verified this result was sent. At that time no
+	// newer configuration was stored.
 	VerifiedAt time.Time
 }
 
@@ -44,7 +45,8 @@
 	// that is unreachable.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// minFirstReadPause is the first pause while there is no configuration yet.
+	// minFirstReadPause is the first pause between reads while there is neither a
+	// configuration nor a revision from which a watch could start.
 	minFirstReadPause = 50 * time.Millisecond
 )
 
@@ -74,20 +76,23 @@
 // neverVerified is the age of a verification that has not happened yet.
 const neverVerified = time.Duration(1<<63 - 1)
 
-// verification records that the catalog in force, or its absence, was the newest state.
+// verification records when the catalog in force, or its absence, was last known to be the
+// newest state.
 type verification struct {
+	// at is when the verifying call was sent.
 	at time.Time
 	// revision is the source's revision up to which all changes were seen.
 	revision uint64
 }
 
-// State is the state of a cache at one moment.
+// State is what Await returns: the version in force, and how recently it was verified.
 type State struct {
 	// Version is the version in force; zero while there is none.
 	Version uint64
 	// Revision is the source's revision up to which all changes were seen.
 	Revision uint64
-	// VerifiedAge is the time since the call was sent that last verified the version.
+	// VerifiedAge is the time since the version was last known to be the newest, counted
+	// from when the verifying call was sent.
 	VerifiedAge time.Duration
 }
 
@@ -100,8 +105,8 @@
 // called before Start.
 func (c *Cache) OnChange(f func()) { c.onChange = append(c.onChange, f) }
 
-// OnReconnect registers a function that is called when the source responds again after a failure.
-// It must be called before Start.
+// OnReconnect registers a function that is called when the source responds again after a failure,
+// before the response's catalog is adopted. It must be called before Start.
 func (c *Cache) OnReconnect(f func()) { c.onReconnect = append(c.onReconnect, f) }
 
 // Name implements kernel.Service.
@@ -197,7 +202,8 @@
 	return 0
 }
 
-// Await waits up to wait for a version above the given one, and returns the state after it.
+// Await waits up to wait until the version in force is above the given one, and returns the
+// state at the end of the wait.
 func (c *Cache) Await(ctx context.Context, version uint64, wait time.Duration) State {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/catalog/keeper_test.go
+++ b/internal/catalog/keeper_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestFirstConfigurationIsWatched checks that a cache watches for the first configuration instead of
-// polling, which took 4 to 12 calls of each of 22 nodes in the first 0.6 s.
+// polling, which took each of 22 nodes 4 to 12 calls in the first 0.6 s.
 func TestFirstConfigurationIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, err := event.New(io.Discard, "error", "n", "test")
@@ -80,7 +80,8 @@
 	return WatchResult{Catalog: c, Revision: 1, VerifiedAt: time.Now()}, err
 }
 
-// Changed implements Source. A call sent before recoverAt gets no response even after it.
+// Changed implements Source. A call that is sent before recoverAt times out, even if the store recovers
+// while the call waits.
 func (s unresponsiveStore) Changed(_ context.Context, revision uint64, wait time.Duration) (WatchResult, error) {
 	sentAt := time.Now()
 	if sentAt.Before(s.recoverAt) {
