--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -26,7 +26,8 @@
 	KeyPrefix = "once/"
 	// maxBucketBytes keeps an object below the store's limit of 1 MB.
 	maxBucketBytes = 900 << 10
-	// MaxAnswerBytes bounds a stored response; larger ones are not stored.
+	// MaxAnswerBytes bounds the body of a stored response. Of a larger one only the stage
+	// Answered is stored.
 	MaxAnswerBytes = 1 << 10
 	// finishTimeout bounds the background write of an outcome.
 	finishTimeout = 30 * time.Second
@@ -48,11 +49,13 @@
 
 // The stages.
 const (
-	// Started means that the request may have been sent.
+	// Started means that the request may have been sent. The key stays in this stage when the
+	// outcome remains unknown, and is then not sent again until the record expires.
 	Started Stage = "begun"
-	// Answered means that the request ran and its response is known.
+	// Answered means that the request ran. Its response is stored if it is complete and has at
+	// most MaxAnswerBytes.
 	Answered Stage = "answered"
-	// Released means that the request did not run; the key may start again.
+	// Released means that the request did not run; a later attempt may claim the key.
 	Released Stage = "released"
 )
 
@@ -65,10 +68,11 @@
 	Body  string `json:"b"`
 	Stage Stage  `json:"s"`
 	// Expires is when the record may be removed, in Unix seconds by the store's clock.
-	Expires int64  `json:"e"`
-	Status  int    `json:"st,omitempty"`
-	Type    string `json:"ct,omitempty"`
-	Answer  []byte `json:"an,omitempty"`
+	Expires int64 `json:"e"`
+	// Status, Type and Answer are the stored response's status, content type and body.
+	Status int    `json:"st,omitempty"`
+	Type   string `json:"ct,omitempty"`
+	Answer []byte `json:"an,omitempty"`
 }
 
 // bucket is the stored form of one of the ledger's objects.
@@ -271,6 +275,8 @@
 }
 
 const (
+	// maxAttempts bounds how often one batch is written. A write is repeated after a conflict
+	// with another entry's write, or when its outcome is unknown.
 	maxAttempts = 8
 	// commitTimeout bounds the commit of one batch, so that callers get an error
 	// early while the platform is unreachable.
@@ -367,7 +373,8 @@
 	return nil
 }
 
-// apply returns the bucket after the batch, without expired records, and whether the batch changed it.
+// apply returns the bucket after the batch, without expired records, and whether an operation of the
+// batch changed a record. The removal of expired records alone causes no write.
 func (c *committer) apply(batch []*operation) (bucket, bool) {
 	now := c.ledger.now().Unix()
 	next := bucket{Records: make(map[string]Record, len(c.bucket.Records)+len(batch))}
@@ -380,6 +387,7 @@
 	for _, op := range batch {
 		old, found := next.Records[op.key]
 		op.result, op.err = op.apply(old, found)
+		// A result without an attempt means that the key has no record and gets none.
 		if op.err != nil || op.result.Attempt == "" || sameState(op.result, old) {
 			continue
 		}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -139,6 +139,7 @@
 	s := newStore()
 	l := New(s, time.Hour, time.Now)
 	c := l.committer(0)
+	// submit starts no goroutine, so that all operations are queued before run takes them.
 	c.running = true
 	const n = 50
 	var submitters sync.WaitGroup
