--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -78,8 +78,8 @@
 	return c.Conn.Close()
 }
 
-// recordRead records bytes that were read. The first ones of a request start its header's phase.
-// It returns false when a limit has closed the connection meanwhile.
+// recordRead records bytes that were read. The first bytes of a request start the phase
+// readingHeader. It returns false when a limit has closed the connection meanwhile.
 func (c *Conn) recordRead(p []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/callers/conn_test.go
+++ b/internal/callers/conn_test.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// TestIdleConnectionIsClosed checks that the idle limit closes a connection after its last response.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	c := limitedServer(t, Limits{Idle: testLimit}, 0)
 	get(t, c)
--- a/internal/callers/head.go
+++ b/internal/callers/head.go
@@ -11,8 +11,9 @@
 type LengthHeader uint8
 
 const (
-	// LengthHeaderUnknown means that the header was not recorded: it was read together with an
-	// earlier request, or on another listener's connection.
+	// LengthHeaderUnknown means that the header was not recorded completely: it was read together
+	// with an earlier request, exceeds maxHeaderBytes, or was read on an encrypted connection or
+	// another listener's.
 	LengthHeaderUnknown LengthHeader = iota
 	// LengthHeaderAbsent means that the header has no Content-Length field.
 	LengthHeaderAbsent
@@ -30,7 +31,8 @@
 	prefaceStart = []byte("PRI * HTTP/2")
 )
 
-// recordHeader records the bytes of a header up to its end; the caller holds mu.
+// recordHeader records the bytes of a header up to its end; the caller holds mu. A header above
+// maxHeaderBytes is not recorded completely, but the servers don't accept it either.
 func (c *Conn) recordHeader(p []byte) {
 	if c.headerComplete() || len(c.header)+len(p) > maxHeaderBytes {
 		return
@@ -44,9 +46,9 @@
 	}
 }
 
-// TakeLengthHeader inspects the recorded header of a request and discards it. known is false for a
+// TakeLengthHeader inspects the recorded header of a request and discards it. tracked is false for a
 // request from another listener's connection.
-func TakeLengthHeader(r *http.Request) (seen LengthHeader, known bool) {
+func TakeLengthHeader(r *http.Request) (seen LengthHeader, tracked bool) {
 	c := connOf(r)
 	if c == nil {
 		return LengthHeaderUnknown, false
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -40,7 +40,7 @@
 	linger   time.Duration
 	// acceptTimedOut is true once Accept has timed out in the drain.
 	acceptTimedOut bool
-	// accepting is true once connections are accepted. acceptEnded is closed when that has ended.
+	// accepting is true once Accept has been called; acceptEnded is closed when it is not called any more.
 	accepting   bool
 	acceptEnded chan struct{}
 	endOnce     sync.Once
@@ -112,10 +112,12 @@
 	return true
 }
 
-// drainAcceptTime is the deadline of Accept in a drain. Pending connections are returned at once.
+// drainAcceptTime is how long Accept may wait in a drain. It returns pending connections at once, so
+// the time bounds only the wait for further ones.
 const drainAcceptTime = 5 * time.Millisecond
 
-// errNoDeadline means that the inner listener's Accept can't have a deadline.
+// errNoDeadline means that the inner listener has no SetDeadline method. A drain then closes the
+// listener without accepting the pending connections.
 var errNoDeadline = errors.New("the listener does not support deadlines")
 
 // setAcceptDeadline makes Accept of the inner listener time out after drainAcceptTime.
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -82,7 +82,7 @@
 }
 
 // stopLinger is how long Stop keeps connections without a request. The callers of servers that
-// are ended by Stop are other daemons and operators, which reconnect.
+// Stop ends are other daemons and operators, which reconnect.
 const stopLinger = 50 * time.Millisecond
 
 // Stop drains the server, and closes it when the context ends first. A nil server counts as stopped.
