--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -40,11 +40,18 @@
 
 // Codes of the errors that Send and its callers return.
 const (
-	CodeUnreachable      = "upstream-unreachable"
-	CodeRefused          = "upstream-refused"
-	CodeBroken           = "upstream-broken"
+	// CodeUnreachable means that no byte of the request reached the upstream.
+	CodeUnreachable = "upstream-unreachable"
+	// CodeRefused means that the upstream refused the request before running it.
+	CodeRefused = "upstream-refused"
+	// CodeBroken means that the connection failed after a part of the request was written, or that
+	// the response is unusable.
+	CodeBroken = "upstream-broken"
+	// CodeResponseMismatch means that the response belongs to another request.
 	CodeResponseMismatch = "foreign-answer"
-	CodeDeadline         = "deadline"
+	// CodeDeadline means that the request's context ended: its deadline expired, its caller
+	// disconnected or the entry had to stop.
+	CodeDeadline = "deadline"
 	// CodeMisdirected means that another VM has the address now, or that the VM is
 	// not the head of a group.
 	CodeMisdirected = "upstream-misdirected"
@@ -96,9 +103,12 @@
 }
 
 const (
-	idleTimeout        = 60 * time.Second
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 60 * time.Second
+	// maxIdlePerUpstream bounds the unused connections to one upstream.
 	maxIdlePerUpstream = 256
-	writeBufferBytes   = 32 << 10
+	// writeBufferBytes is the size of each connection's write buffer.
+	writeBufferBytes = 32 << 10
 )
 
 // NewSender returns a sender that opens its connections with the dialer. peerTLS is used for requests to other
--- a/internal/relay/sender_test.go
+++ b/internal/relay/sender_test.go
@@ -77,6 +77,7 @@
 	}
 }
 
+// send sends a request whose response must echo its ID; once is its AtMostOnce.
 func send(s *Sender, address, method string, once bool, body string, h http.Header) (*http.Response, error) {
 	return s.Send(context.Background(), Outgoing{
 		Address: address, Method: method, Path: "/x", Header: h, Body: []byte(body), RequestID: "r", AtMostOnce: once, RequireEcho: true,
@@ -289,7 +290,7 @@
 	buf     []byte
 }
 
-// Read returns a part of a batch, as a read from a socket may.
+// Read returns the unread bytes of a batch, or as many as p takes, as a read from a socket may.
 func (r *eventReader) Read(p []byte) (int, error) {
 	if len(r.buf) == 0 {
 		if r.batches == 0 {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -93,7 +93,8 @@
 	data   []byte
 }
 
-// readEvent parses the lines up to a blank one. It drops fields other than id and data.
+// readEvent parses one event, up to the blank line that ends it, into buf. It skips blank lines before
+// the event, and fields other than id and data.
 func readEvent(r *bufio.Reader, buf []byte) (event, error) {
 	buf = buf[:0]
 	var ev event
