--- a/internal/table/references.go
+++ b/internal/table/references.go
@@ -8,8 +8,9 @@
 // ErrDuplicateKey means that two teams have the same key.
 var ErrDuplicateKey = errors.New("two teams have the same key")
 
-// CheckReferences checks the row's references to other rows, and that its team key is
-// unique. rows holds the table after the change by store key.
+// CheckReferences checks the rules that a row's single cells can't show: that the rows it refers to
+// exist, that a plain service has a pool, and that a team's key is unique. rows holds the table after
+// the change by store key.
 func CheckReferences(r *Row, rows map[string]*Row) error {
 	switch {
 	case r.Group != nil:
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -16,8 +16,10 @@
 var (
 	ErrUnknownSheet  = errors.New("unknown sheet")
 	ErrUnknownColumn = errors.New("unknown column")
-	ErrInvalidCell   = errors.New("invalid cell")
-	ErrInvalidRow    = errors.New("invalid stored row")
+	// ErrInvalidCell means that an operator's text for a cell, or a row's name, is not valid.
+	ErrInvalidCell = errors.New("invalid cell")
+	// ErrInvalidRow means that a stored row can't be decoded or is incomplete.
+	ErrInvalidRow = errors.New("invalid stored row")
 )
 
 // SheetName names a sheet of the table.
--- a/internal/table/sheet.go
+++ b/internal/table/sheet.go
@@ -11,6 +11,7 @@
 
 // Bounds of the cells' values.
 const (
+	// MaxPriority is the highest priority of a request; unlike in catalog.Route, higher is served first.
 	MaxPriority    = 9
 	maxWeight      = 1000
 	maxVMsPerGroup = 64
@@ -18,8 +19,9 @@
 	maxSlots       = 100000
 	maxQueue       = 100000
 	maxTimeout     = 24 * time.Hour
-	maxRate        = 1e6
-	keyHashBytes   = 32
+	// maxRate bounds rates in requests per second, and also the weights of the groups sheet.
+	maxRate      = 1e6
+	keyHashBytes = 32
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
@@ -40,18 +42,20 @@
 	// Doc describes the column's unit and effect to operators.
 	Doc string
 
-	// get formats the cell of a row; set parses a text dest it.
+	// get formats the cell of a row; set parses a text into it.
 	get func(*Row) string
 	set func(*Row, string) error
 }
 
 // Sheet describes one sheet of the table.
 type Sheet struct {
-	Name    SheetName
+	Name SheetName
+	// Doc describes the sheet to operators.
 	Doc     string
 	Columns []Column
 
-	// hasCells reports whether a row has the cells of this sheet; reset gives it empty ones.
+	// hasCells reports whether a row has the cells of this sheet; reset replaces
+	// them by empty ones.
 	hasCells func(*Row) bool
 	reset    func(*Row)
 }
@@ -81,7 +85,7 @@
 	return r
 }
 
-// Set parses the text dest one cell of the row. An empty text sets the column's default.
+// Set parses the text into one cell of the row. An empty text sets the column's default.
 func (s *Sheet) Set(r *Row, column, text string) error {
 	for _, c := range s.Columns {
 		if c.Name != column {
@@ -243,6 +247,8 @@
 	},
 }
 
+// The functions below parse the text of a cell into dest, and return ErrInvalidCell if the text is not valid.
+
 func oneOf(text string, set func(string), allowed ...string) error {
 	for _, a := range allowed {
 		if text == a {
