--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -23,7 +23,8 @@
 	dryRun bool
 }
 
-// register adds the flags to the command; --base applies to edits of single rows only.
+// register adds the flags to the command. withBase adds --base, for the commands that edit
+// a single row.
 func (f *changeFlags) register(c *cobra.Command, withBase bool) {
 	c.Flags().StringVar(&f.change, "change", "", "change ID; give the ID of an earlier attempt to query its outcome")
 	c.Flags().BoolVar(&f.force, "force", false, "use the rows' current versions as the base")
@@ -100,24 +101,24 @@
 // exit code.
 func (a *app) printResults(f *changeFlags, edits []*marbleroadv1.RowEdit, results []*marbleroadv1.RowResult) error {
 	g := grid{header: []string{"sheet", nameColumn, "outcome", versionColumn, "message"}}
-	var worst error
+	var latest error
 	for i, r := range results {
 		text := r.GetMessage()
 		if r.GetOutcome() == marbleroadv1.Outcome_OUTCOME_CONFLICT && i < len(edits) {
 			text += ": " + describeConflict(edits[i], r)
 		}
 		g.add(r.GetSheet(), r.GetName(), outcomeNames[r.GetOutcome()], strconv.FormatUint(r.GetVersion(), 10), text)
-		worst = outcomeError(worst, r.GetOutcome())
+		latest = outcomeError(latest, r.GetOutcome())
 	}
 	if err := a.print(g, results); err != nil {
 		return err
 	}
-	return errors.Wrapf(worst, "change %s", f.change)
+	return errors.Wrapf(latest, "change %s", f.change)
 }
 
-// outcomeError returns the error for an outcome, or worst when the outcome needs no
-// error of its own.
-func outcomeError(worst error, o marbleroadv1.Outcome) error {
+// outcomeError returns the error for an outcome, or the previous results' error if the
+// outcome is a success. A row that was not stored does not replace a previous error.
+func outcomeError(previous error, o marbleroadv1.Outcome) error {
 	switch o {
 	case marbleroadv1.Outcome_OUTCOME_CONFLICT:
 		return errConflict
@@ -126,11 +127,11 @@
 	case marbleroadv1.Outcome_OUTCOME_UNKNOWN:
 		return errUnknown
 	case marbleroadv1.Outcome_OUTCOME_NOT_STORED:
-		if worst == nil {
+		if previous == nil {
 			return errors.New("not all edits were stored")
 		}
 	}
-	return worst
+	return previous
 }
 
 // describeConflict returns, for an edit that conflicts with a newer version of the row,
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -31,7 +31,8 @@
 	exitUnknown  = 5
 )
 
-// Environment variables that provide the defaults of flags.
+// Environment variables that are read if the corresponding flag is not given. envToken
+// holds the operators' token itself, where --token-file names a file.
 const (
 	envControl = "MARBLEROAD_CONTROL"
 	envToken   = "MARBLEROAD_TOKEN"
@@ -92,6 +93,7 @@
 	return err.Error()
 }
 
+// exitCode returns the exit code for the sentinel error that err wraps.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errConflict):
--- a/internal/ctl/explainlog.go
+++ b/internal/ctl/explainlog.go
@@ -19,7 +19,8 @@
 // errNoLines is returned when no log line has the request's ID.
 var errNoLines = errors.New("no log line has this request ID")
 
-// maxLogLine is the maximum length of a log line, in bytes.
+// maxLogLine is the maximum length of a log line, in bytes. A log file with a longer line
+// cannot be read.
 const maxLogLine = 1 << 20
 
 // logLine is a parsed line of a daemon's log.
--- a/internal/ctl/sheet.go
+++ b/internal/ctl/sheet.go
@@ -93,11 +93,12 @@
 	return false
 }
 
-// parseRecord parses one row of a sheet and returns it with its validation errors. A sheet
-// without a version column overwrites the stored rows whatever their version.
+// parseRecord parses one record of a CSV file into an edit and returns it with its
+// validation errors. If the file has no version column, the edit overwrites the stored row
+// whatever its version.
 func parseRecord(s *table.Sheet, header, record []string, line int, force bool) (*marbleroadv1.RowEdit, []string) {
 	edit := &marbleroadv1.RowEdit{Sheet: string(s.Name), Force: force || !contains(header, versionColumn)}
-	row := s.NewRow("")
+	row := s.NewRow("") // only validates the cells; the edit holds their text
 	var problems []string
 	report := func(column string, err error) {
 		problems = append(problems, fmt.Sprintf("line %d, column %s: %v", line, column, err))
@@ -119,6 +120,7 @@
 		case hasColumn(s, column):
 			if err := s.Set(row, column, text); err != nil {
 				report(column, errors.UnwrapAll(err))
+				// Replaces the reported text, since the error already names the column.
 				problems[len(problems)-1] = fmt.Sprintf("line %d, %v", line, err)
 			}
 			edit.Cells = append(edit.Cells, &marbleroadv1.Cell{Column: column, Text: text})
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -150,6 +150,7 @@
 	return g
 }
 
+// drainCommand returns the drain command, or the undrain command if drain is false.
 func (a *app) drainCommand(drain bool) *cobra.Command {
 	use, short := "drain VM", "Send the VM no new requests; its group is formed again without it."
 	if !drain {
--- a/internal/ctl/table.go
+++ b/internal/ctl/table.go
@@ -93,6 +93,8 @@
 	return nil
 }
 
+// sheetGrid returns the rows with their names, versions and cells. Its CSV output can be
+// applied again.
 func sheetGrid(s *table.Sheet, rows []*table.Row) grid {
 	g := grid{header: []string{nameColumn, versionColumn}}
 	for _, c := range s.Columns {
