--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -21,9 +21,10 @@
 
 // View is the state that one node holds at one moment.
 type View struct {
-	Node          string        `json:"node"`
-	FailureDomain string        `json:"failure_domain"`
-	Ready         bool          `json:"ready"`
+	Node          string `json:"node"`
+	FailureDomain string `json:"failure_domain"`
+	Ready         bool   `json:"ready"`
+	// NotReady is the reason why the node is not ready.
 	NotReady      string        `json:"not_ready,omitempty"`
 	Configuration Configuration `json:"configuration"`
 	// ListAge is the time since the list of VMs was last known to be current.
@@ -75,14 +76,16 @@
 
 // Node is another live node.
 type Node struct {
-	ID            string        `json:"id"`
-	FailureDomain string        `json:"failure_domain"`
-	Age           time.Duration `json:"age_ns"`
-	Directing     []string      `json:"directing"`
-	Stopping      bool          `json:"stopping"`
+	ID            string `json:"id"`
+	FailureDomain string `json:"failure_domain"`
+	// Age is the time since the node was last seen.
+	Age       time.Duration `json:"age_ns"`
+	Directing []string      `json:"directing"`
+	Stopping  bool          `json:"stopping"`
 }
 
-// Group is a group of VMs, as its VMs report it.
+// Group is a group of VMs, as its VMs report it in the list; Size, Running and
+// ExclusionReason are what this node knows.
 type Group struct {
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
@@ -120,13 +123,15 @@
 type Sources struct {
 	Node          string
 	FailureDomain string
-	Ready         func() (bool, string)
-	CatalogCache  *catalog.Keeper
-	Directory     *fleet.Directory
-	Cluster       *cluster.Cluster
-	Directing     func() []string
-	// Load returns the requests running at a group's head and the reason why this node
-	// sends none there; empty if it does.
+	// Ready reports whether the node is ready, and if not, the reason.
+	Ready        func() (bool, string)
+	CatalogCache *catalog.Keeper
+	Directory    *fleet.Directory
+	Cluster      *cluster.Cluster
+	Directing    func() []string
+	// Load returns the number of requests that all nodes have in flight at a group's head,
+	// as far as this node knows, and the reason why this node sends no requests there. The
+	// reason is empty if it sends them.
 	Load func(vm, group string) (running int, exclusionReason string)
 	// Condition returns the condition that a VM reports.
 	Condition func(vm *fleet.VM) string
@@ -169,7 +174,8 @@
 	return v
 }
 
-// configuration returns the configuration in the form of the View.
+// configuration converts the catalog to the View's Configuration, except for VerifiedAge,
+// which the catalog does not hold.
 func configuration(c *catalog.Catalog) Configuration {
 	out := Configuration{Version: c.Version(), Teams: c.Teams()}
 	for name := range c.Services() {
@@ -186,6 +192,7 @@
 	return out
 }
 
+// upstreams returns the listed VMs, sorted by ID.
 func (s Sources) upstreams(list *fleet.Snapshot) []VM {
 	out := make([]VM, 0, len(list.VMs))
 	for _, vm := range list.VMs {
@@ -196,6 +203,7 @@
 	return out
 }
 
+// groups returns the listed groups, sorted by name.
 func (s Sources) groups(list *fleet.Snapshot, current *catalog.Catalog) []Group {
 	out := make([]Group, 0, len(list.Groups))
 	for name, reported := range list.Groups {
