--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -58,7 +58,7 @@
 		func(s *Settings, t string) error { return parseName(t, &s.Node.ID) }},
 	{"node", "failure_domain", "", allowedName, "Failure domain that this VM is in.", allPrograms,
 		func(s *Settings, t string) error { return parseName(t, &s.Node.FailureDomain) }},
-	{"node", "processor", "0", "a number, 0 or more", "Processor cores, or the fraction of one, that marbleroad-node may use; 0 if it is not specified. The nodes with the most manage groups, read the platform for others and aggregate their states.", nil,
+	{"node", "processor", "0", "a number, 0 or more", "Processor cores, or the fraction of one, that marbleroad-node may use; 0 if it is not specified. The nodes with the highest values manage groups, read the platform for others and aggregate their states.", nil,
 		func(s *Settings, t string) error { return parseAmount(t, &s.Node.Processor) }},
 
 	{"platform", "url", "", "an http URL with an IP number, such as http://10.0.0.1:9000", "Where the platform's Object API and membership list are.", allPrograms,
@@ -84,7 +84,7 @@
 		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.BalancerDelay) }},
 	{"entry", "shutdown_limit", "10m", allowedDuration, "How long a stop waits for requests in flight; streams that are still open then end with an error event.", nil,
 		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.ShutdownLimit) }},
-	{"entry", "linger", "500ms", allowedDuration, "How long a stop then keeps an idle connection of a caller open, counted from its last response, since the caller may not know of the stop yet.", nil,
+	{"entry", "linger", "500ms", allowedDuration, "How long a stop keeps an idle connection of a caller open, counted from its last response, since the caller may not know of the stop yet.", nil,
 		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.Linger) }},
 	{"entry", "body_timeout", "30s", allowedDuration, "Timeout for reading a request's body; a slower caller is rejected with 408.", nil,
 		func(s *Settings, t string) error { return parseDuration(t, &s.Entry.BodyTimeout) }},
@@ -121,7 +121,7 @@
 		func(s *Settings, t string) error { return parseAddress(t, &s.Gateway.Admin) }},
 	{"gateway", "balancer_delay", "2500ms", allowedDuration, "How long callers are still accepted after readiness is withdrawn; the balancer reacts after two failed checks, a second apart.", nil,
 		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.BalancerDelay) }},
-	{"gateway", "linger", "500ms", allowedDuration, "How long a stop then keeps an idle connection of a caller open, counted from its last response, since the caller may not know of the stop yet.", nil,
+	{"gateway", "linger", "500ms", allowedDuration, "How long a stop keeps an idle connection of a caller open, counted from its last response, since the caller may not know of the stop yet.", nil,
 		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.Linger) }},
 	{"gateway", "stop_grace", "8s", allowedDuration, "Time from the stop signal until the platform kills the process.", nil,
 		func(s *Settings, t string) error { return parseDuration(t, &s.Gateway.StopGrace) }},
@@ -281,6 +281,7 @@
 	return nil
 }
 
+// parseCount parses a whole number from 1 to 1000.
 func parseCount(text string, into *int) error {
 	const maxCount = 1000
 	v, err := strconv.Atoi(text)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrInvalid marks every validation error of a settings file.
+// ErrInvalid marks every error of Load: a file that cannot be read or parsed, and the
+// validation errors of a file.
 var ErrInvalid = errors.New("invalid settings")
 
 // Node holds the identity of this VM.
@@ -23,7 +24,8 @@
 // Platform holds the settings for calls to the platform.
 type Platform struct {
 	URL string
-	// Timeout is the timeout of one call.
+	// Timeout is the timeout of a write, of the start of any other response, besides the
+	// time that a watch waits, and of each pause within a response.
 	Timeout time.Duration
 	// WatchWait is how long one watch waits for changes.
 	WatchWait time.Duration
@@ -37,14 +39,14 @@
 	// Advertise is the address under which others reach Peer; Peer itself when empty.
 	Advertise string
 	Control   []string
-	// ViewInterval is the interval at which the entry reads the control process's view.
+	// ViewInterval is the interval at which the entry reads a control daemon's view.
 	ViewInterval time.Duration
 	// BalancerDelay is how long the balancer may still send requests after
 	// readiness is withdrawn.
 	BalancerDelay time.Duration
 	// ShutdownLimit is how long a stop waits for requests in flight.
 	ShutdownLimit time.Duration
-	// Linger is how long a stop then keeps idle connections open.
+	// Linger is how long a stop keeps an idle connection open after its last response.
 	Linger time.Duration
 	// BodyTimeout is the timeout for reading a request's body.
 	BodyTimeout time.Duration
@@ -78,7 +80,7 @@
 	// BalancerDelay is how long the balancer may still send requests after
 	// readiness is withdrawn.
 	BalancerDelay time.Duration
-	// Linger is how long a stop then keeps idle connections open.
+	// Linger is how long a stop keeps an idle connection open after its last response.
 	Linger time.Duration
 	// StopGrace is the time from the stop signal until the platform kills the process.
 	StopGrace time.Duration
@@ -104,7 +106,8 @@
 	Interval  time.Duration
 }
 
-// Presence holds settings that must be the same on entries and control processes.
+// Presence holds the settings that must be the same for all entries and control daemons of
+// a failure domain.
 type Presence struct {
 	// Window is how long a VM counts as present after a probe was sent.
 	Window time.Duration
@@ -136,6 +139,7 @@
 
 // Debug holds settings for developers.
 type Debug struct {
+	// Pprof enables profiles on the admin listeners.
 	Pprof bool
 }
 
@@ -263,6 +267,8 @@
 	if s.Control.Advertise == "" {
 		s.Control.Advertise = s.Control.Listen
 	}
+	// A probe and an exchange of its result must fit into half of the window, since control
+	// daemons leave that half for the results of their backup probes to reach the entries.
 	if s.Presence.Window < 2*(s.Control.ProbeInterval+s.Control.ExchangeInterval) {
 		r.report("presence", "window", "%s is too short; allowed is at least twice control.probe_interval and control.exchange_interval together", s.Presence.Window)
 	}
