--- a/internal/event/async_test.go
+++ b/internal/event/async_test.go
@@ -25,8 +25,8 @@
 	a.Close()
 }
 
-// TestOrdinaryLinesAreBounded checks that the rate limit applies to each event for itself,
-// starts anew each second, and does not apply to warnings.
+// TestOrdinaryLinesAreBounded checks that the rate limit applies to each event separately,
+// restarts each second, and does not apply to warnings.
 func TestOrdinaryLinesAreBounded(t *testing.T) {
 	var out bytes.Buffer
 	l, err := New(&out, "info", "n", "p")
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -22,17 +22,17 @@
 		"Counted as log.dropped; lower log.rate or speed up the reader."}
 	ConnectionFailed = Event{1009, zerolog.DebugLevel, "a connection of a listener failed",
 		"None; the line holds the text of the HTTP library."}
-	Suspended = Event{1010, zerolog.WarnLevel, "this VM was suspended; verifications, leases and credits from before have aged by that time",
+	Suspended = Event{1010, zerolog.WarnLevel, "this VM was suspended; verifications, leases and credits from before the suspension are older by its duration",
 		"Ask the platform why. Requests with keys are refused until the configuration is verified again."}
 	HandlerPanicked = Event{1011, zerolog.ErrorLevel, "the handler of a request panicked; its connection was closed",
 		"Report it with the text of the line."}
 	StopRepeated = Event{1012, zerolog.InfoLevel, "a stop signal was received while the daemon was stopping",
 		"None. SIGINT ends the wait for requests in flight; SIGTERM changes nothing."}
-	SchedulingStall = Event{1013, zerolog.InfoLevel, "this process did not run for a while (scheduling stall); peers and upstreams are not counted as silent for that time",
+	SchedulingStall = Event{1013, zerolog.InfoLevel, "this process did not run for a while (scheduling stall); that time does not count as silence of peers and upstreams",
 		"If it repeats, check what else runs on the VM."}
 	StartIncomplete = Event{1014, zerolog.InfoLevel, "this daemon has started and still lacks what it needs to serve",
 		"If it lasts, check the missing part: 3001 for the platform, 4026 and 4030 for other nodes."}
-	StartComplete = Event{1015, zerolog.InfoLevel, "this daemon has all that it needs to serve; the fields are the times after its start at which each part was there",
+	StartComplete = Event{1015, zerolog.InfoLevel, "this daemon has all that it needs to serve; the fields are the times after its start at which each part became available",
 		"None."}
 )
 
@@ -76,7 +76,7 @@
 var (
 	PlanCommitted = Event{4001, zerolog.InfoLevel, "a new group plan was committed",
 		"None."}
-	PlanConflict = Event{4002, zerolog.InfoLevel, "another control process changed the plan first; planning again",
+	PlanConflict = Event{4002, zerolog.InfoLevel, "another control daemon changed the plan first; planning again",
 		"None."}
 	OrderRefused = Event{4003, zerolog.WarnLevel, "an engine refused an order",
 		"If it repeats, compare the engine's fencing token with the plan."}
@@ -88,9 +88,9 @@
 		"Check its VM and the network to it."}
 	PeerReturned = Event{4007, zerolog.InfoLevel, "a peer responds",
 		"None."}
-	ControlSwitched = Event{4008, zerolog.WarnLevel, "the entry reads from another control process",
+	ControlSwitched = Event{4008, zerolog.WarnLevel, "the entry reads from another control daemon",
 		"Check the control daemon on this VM."}
-	ViewUnreadable = Event{4009, zerolog.ErrorLevel, "an item cannot be read and is skipped",
+	ViewUnreadable = Event{4009, zerolog.ErrorLevel, "an item of the control daemon's view cannot be read and is skipped",
 		"Compare the versions of the daemons."}
 	UpstreamAdded = Event{4010, zerolog.InfoLevel, "an upstream VM is listed",
 		"None."}
@@ -98,13 +98,13 @@
 		"None."}
 	UpstreamRemoved = Event{4012, zerolog.InfoLevel, "an upstream VM is no longer listed",
 		"None, unless it should be there."}
-	MembershipChanged = Event{4013, zerolog.InfoLevel, "a VM reports another membership in a group",
+	MembershipChanged = Event{4013, zerolog.InfoLevel, "a VM reports that its membership in a group changed",
 		"None."}
 	OrderSent = Event{4014, zerolog.InfoLevel, "an order was sent to a VM",
 		"None; the field refused is the reason if it did not take effect."}
 	GroupPlanned = Event{4015, zerolog.InfoLevel, "a group is being formed",
 		"None."}
-	GroupOpened = Event{4016, zerolog.InfoLevel, "a group serves",
+	GroupOpened = Event{4016, zerolog.InfoLevel, "a group is open and serves requests",
 		"None."}
 	GroupAbandoned = Event{4017, zerolog.WarnLevel, "a group that was being formed is abandoned",
 		"See the reason; its VMs can be used again."}
@@ -128,11 +128,7 @@
 		"See the leader's log, events 3001 and 1001."}
 	UpstreamMissing = Event{4027, zerolog.InfoLevel, "an upstream VM's entry is missing after an outage of the platform; the VM is kept for a while, since entries may have expired during the outage",
 		"None; 4012 follows if the entry does not return."}
-)
-
-// Events of requests.
-var (
-	RequestDone = Event{5001, zerolog.DebugLevel, "request answered",
+	HubChanged = Event{4028, zerolog.InfoLevel, "this node starts or stops aggregating the states of other nodes as a hub",
 		"None."}
 	UpstreamRestarted = Event{4029, zerolog.InfoLevel, "an upstream VM restarted under its ID; what was known of its previous incarnation is dropped",
 		"None. Requests that the previous incarnation accepted may have run."}
@@ -142,7 +138,11 @@
 		"None."}
 	UnverifiedStateAdopted = Event{4032, zerolog.WarnLevel, "another node's list or configuration is in use although it was verified long ago, since the platform does not respond to this node",
 		"Check the platform (3001). Keys are refused until the configuration is verified."}
-	HubChanged = Event{4028, zerolog.InfoLevel, "this node starts or stops aggregating the states of other nodes as a hub",
+)
+
+// Events of requests.
+var (
+	RequestDone = Event{5001, zerolog.DebugLevel, "request answered",
 		"None."}
 	RequestRefused = Event{5002, zerolog.InfoLevel, "request refused",
 		"See the code in docs/OPERATIONS.md."}
