--- a/internal/metrics/catalogue.go
+++ b/internal/metrics/catalogue.go
@@ -44,7 +44,7 @@
 	{"load.life_ms.MODEL", "gauge", "Service time of requests for the model at a head, learned from those that completed without error."},
 	{"load.offset_ms.MODEL", "gauge", "Time by which first events exceed their prediction, learned."},
 	{"catalog.version", "gauge", "Version of the configuration in force."},
-	{"catalog.age_ms", "gauge", "Time since the configuration was last verified to be the newest, as of the balancer's latest check."},
+	{"catalog.age_ms", "gauge", "Time since the configuration was last verified to be the newest, as of the balancer's latest readiness check."},
 	{"start.PART_ms", "gauge", "Time from the start until the node had a part of what it needs: configuration, upstreams, nodes, keys, groups."},
 	{"platform.calls.VERB.KIND", "counter", "Calls to the platform's store: get, list, watch or write, and the kind of object."},
 	{"director.reports", "counter", "Reports requested from VMs."},
--- a/internal/metrics/catalogue_test.go
+++ b/internal/metrics/catalogue_test.go
@@ -33,7 +33,8 @@
 	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".md")).Assert(t, "METRICS", []byte(b.String()))
 }
 
-// metricUse matches a use of a metric with its name.
+// metricUse matches a call that names a metric. The pattern leaves out the first letter of
+// the registry's field, which is called metrics or Metrics.
 var metricUse = regexp.MustCompile(`etrics\.(Count|Set|Observe)\("([a-z_.]+)"`)
 
 // TestEveryMetricIsListed searches the sources of marbleroad-node for metrics that the
