--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,6 +16,7 @@
 // ServiceName is the name of the admin service in the kernel.
 const ServiceName = "admin"
 
+// readHeaderTimeout is the maximum time for a client to send a request's header.
 const readHeaderTimeout = 5 * time.Second
 
 // ReadinessReporter reports whether the daemon is ready for requests, and if not, the reason.
