--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -34,7 +34,8 @@
 }
 
 // New returns a tracer that exports to the target: none, file:PATH or an OTLP/HTTP base
-// URL. It keeps the fraction sample of the traces that start here.
+// URL. It keeps the fraction sample of the traces that start here; for a trace of
+// the caller, the caller's sampling decision applies.
 func New(ctx context.Context, target, program, node string, sample float64) (*Tracer, error) {
 	if target == None || target == "" {
 		return Off(), nil
