--- a/internal/jsonbody/jsonbody.go
+++ b/internal/jsonbody/jsonbody.go
@@ -12,7 +12,8 @@
 // a few megabytes.
 const MaxBytes = 64 << 20
 
-// Decode reads a body to its end, or up to MaxBytes, and decodes it.
+// Decode reads a body to its end and decodes it. A body longer than MaxBytes is truncated,
+// and therefore fails to decode.
 func Decode(body io.Reader, into any) error {
 	data, err := io.ReadAll(io.LimitReader(body, MaxBytes))
 	if err != nil {
