--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -336,7 +336,7 @@
 mutant "what came since an old list is left out" internal/feed/fleet.go \
   's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestDisconnectedSourceIsUsed
 mutant "a list is given only while its proof is young" internal/fleet/recent.go \
-  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestDisconnectedSourceIsUsed
+  's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.VerifiedAt) < time.Second {/' ./internal/feed TestDisconnectedSourceIsUsed
 mutant "duties fall to the first by ID" internal/cluster/topology.go \
   's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
 mutant "the first by ID are followed" internal/cluster/topology.go \
