--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -19,146 +19,147 @@
 	"github.com/marbleroad/marbleroad/test/standin/groupengine"
 )
 
-// callers send requests to the nodes that are in rotation, on connections that they keep, until
-// the run ends.
+// callers sends requests to the ready nodes over persistent connections until the run ends.
 type callers struct {
-	w    *world
-	next atomic.Int64
-	// many and leaving count the faults that have more requests come, or callers leave early.
-	many    atomic.Int32
-	leaving atomic.Int32
-	done    sync.WaitGroup
+	testbed *testbed
+	next    atomic.Int64
+	// surges and disconnects count the active faults that add callers or make callers disconnect
+	// early.
+	surges      atomic.Int32
+	disconnects atomic.Int32
+	done        sync.WaitGroup
 }
 
-func newCallers(w *world) *callers { return &callers{w: w} }
+func newCallers(tb *testbed) *callers { return &callers{testbed: tb} }
 
-// lean begins (1) or ends (-1) a time in which callers are many, or leave early.
-func (c *callers) lean(k Kind, by int32) {
-	if k == CallersLeave {
-		c.leaving.Add(by)
+// adjustLoad starts (1) or ends (-1) a load surge or a period of early disconnects.
+func (c *callers) adjustLoad(k Kind, by int32) {
+	if k == CallersDisconnect {
+		c.disconnects.Add(by)
 		return
 	}
-	if c.many.Add(by) == 1 && by == 1 {
-		c.crowd()
+	if c.surges.Add(by) == 1 && by == 1 {
+		c.startSurge()
 	}
 }
 
-// crowd starts more callers, who go when they are not many any more.
-func (c *callers) crowd() {
-	for i := range crowdFactor * c.w.config.callers {
+// startSurge starts additional callers, which stop when the last surge ends.
+func (c *callers) startSurge() {
+	for i := range surgeFactor * c.testbed.config.callers {
 		c.done.Go(func() {
-			random := rand.New(rand.NewPCG(c.w.seed, uint64(1000+i)))
+			random := rand.New(rand.NewPCG(c.testbed.seed, uint64(1000+i)))
 			client := newClient()
 			defer client.CloseIdleConnections()
-			for c.many.Load() > 0 {
-				time.Sleep(max(c.one(random, client), crowdPause))
+			for c.surges.Load() > 0 {
+				time.Sleep(max(c.sendRequest(random, client), minSurgePause))
 			}
 		})
 	}
 }
 
 const (
-	// crowdFactor is how many times more callers a crowd has.
-	crowdFactor = 4
-	// crowdPause is the least time between two requests of one of them: refusals come within a
-	// millisecond, and hundreds of callers that don't pause keep the whole machine from running.
-	crowdPause = 200 * time.Millisecond
+	// surgeFactor is the number of additional callers of a surge per ordinary caller.
+	surgeFactor = 4
+	// minSurgePause is the minimum time between two requests of an additional caller: rejections
+	// arrive within a millisecond, and hundreds of callers without a pause overload the machine.
+	minSurgePause = 200 * time.Millisecond
 )
 
-// newClient sends requests on connections that it keeps. They have no GetBody, so that net/http
-// sends none a second time.
+// newClient returns a transport with persistent connections. The requests have no GetBody, so that
+// net/http does not send one twice.
 func newClient() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 }
 
-// meanPause is the time between two requests of one caller.
+// meanPause is the mean time between two requests of one caller.
 const meanPause = 60 * time.Millisecond
 
-// run starts the callers; they end with the context, and stop waits for them.
+// run starts the callers. They stop when the context is canceled; done waits for them.
 func (c *callers) run(ctx context.Context, number int) {
 	for i := range number {
-		c.done.Go(func() { c.loop(ctx, rand.New(rand.NewPCG(c.w.seed, uint64(i)))) })
+		c.done.Go(func() { c.loop(ctx, rand.New(rand.NewPCG(c.testbed.seed, uint64(i)))) })
 	}
-	c.done.Go(func() { c.smuggle(ctx) })
+	c.done.Go(func() { c.sendSmuggled(ctx) })
 }
 
 func (c *callers) loop(ctx context.Context, random *rand.Rand) {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		back := c.one(random, client)
+		retryAfter := c.sendRequest(random, client)
 		pause := meanPause/2 + time.Duration(random.Int64N(int64(meanPause)))
-		// One caller in five does not wait for as long as it is told.
-		if back > pause && random.IntN(5) > 0 {
-			pause = min(back, 2*time.Second)
+		// One caller in five ignores Retry-After.
+		if retryAfter > pause && random.IntN(5) > 0 {
+			pause = min(retryAfter, 2*time.Second)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// one makes one request and returns when to come back.
-func (c *callers) one(random *rand.Rand, client *http.Transport) time.Duration {
-	n := c.w.nodes[random.IntN(len(c.w.nodes))]
-	ready, life := n.inRotation()
+// sendRequest sends one random request and returns the Retry-After of its response.
+func (c *callers) sendRequest(random *rand.Rand, client *http.Transport) time.Duration {
+	n := c.testbed.nodes[random.IntN(len(c.testbed.nodes))]
+	ready, incarnation := n.readyIncarnation()
 	if !ready {
 		return 0
 	}
-	a := call{id: fmt.Sprintf("r-%d", c.next.Add(1)), node: n.number, life: life, class: c.class(random)}
+	a := call{id: fmt.Sprintf("r-%d", c.next.Add(1)), node: n.number, incarnation: incarnation, class: c.class(random)}
 	path, key := c.target(random, &a)
 	if path == "" {
 		return 0
 	}
 	a.key = key
-	ctx, cancel := context.WithTimeout(context.Background(), patience+2*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout+2*time.Second)
 	defer cancel()
-	if a.class == streamed && random.IntN(20) < 1+6*min(int(c.leaving.Load()), 1) {
+	if a.class == streamRequest && random.IntN(20) < 1+6*min(int(c.disconnects.Load()), 1) {
 		timer := time.AfterFunc(50*time.Millisecond+time.Duration(random.IntN(400))*time.Millisecond, cancel)
 		defer timer.Stop()
 	}
-	back := c.send(ctx, client, n, path, &a)
-	a.ended = time.Now()
+	retryAfter := c.send(ctx, client, n, path, &a)
+	a.finished = time.Now()
 	if errors.Is(ctx.Err(), context.Canceled) {
-		a.left = a.ended
+		a.disconnectedAt = a.finished
 	}
-	c.w.history.called(a)
-	return back
+	c.testbed.history.recordCall(a)
+	return retryAfter
 }
 
 func (c *callers) class(random *rand.Rand) class {
 	switch draw := random.IntN(20); {
 	case draw < 12:
-		return streamed
+		return streamRequest
 	case draw < 15:
-		return read
+		return idempotentRead
 	case draw < 18:
-		return written
+		return nonIdempotentWrite
 	}
-	return probed
+	return routeProbe
 }
 
-// target is the path and the key of a request; no path when there is nothing to ask for.
+// target returns the path and the key of a request. The path is empty for a route probe while no
+// route was added.
 func (c *callers) target(random *rand.Rand, a *call) (path, key string) {
-	w := c.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	key = w.keys[random.IntN(len(w.keys))]
-	if len(w.revoked) > 0 && random.IntN(20) == 0 {
-		key = w.revoked[random.IntN(len(w.revoked))]
+	tb := c.testbed
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	key = tb.keys[random.IntN(len(tb.keys))]
+	if len(tb.revoked) > 0 && random.IntN(20) == 0 {
+		key = tb.revoked[random.IntN(len(tb.revoked))]
 	}
 	a.events = streamEvents
 	switch a.class {
-	case streamed:
+	case streamRequest:
 		path = "/stream/" + a.id
-		if random.IntN(longShare) == 0 {
-			a.events = longEvents
-			path = fmt.Sprintf("%s?%s=%d", path, groupengine.EventsQuery, longEvents)
+		if random.IntN(longStreamFrequency) == 0 {
+			a.events = longStreamEvents
+			path = fmt.Sprintf("%s?%s=%d", path, groupengine.EventsQuery, longStreamEvents)
 		}
 		return path, key
-	case probed:
-		if len(w.routes) == 0 {
+	case routeProbe:
+		if len(tb.routes) == 0 {
 			return "", ""
 		}
-		a.version = w.routes[random.IntN(len(w.routes))]
+		a.version = tb.routes[random.IntN(len(tb.routes))]
 		return fmt.Sprintf("/new-%d/%s", a.version, a.id), key
 	default:
 		return "/" + a.class.String() + "/" + a.id, key
@@ -166,14 +167,14 @@
 }
 
 func (c *callers) send(ctx context.Context, client *http.Transport, n *node, path string, a *call) time.Duration {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.w.addr(roleNode, n.number, listenPort)+path, strings.NewReader("body of "+a.bodyOf()))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.testbed.addr(roleNode, n.number, listenPort)+path, strings.NewReader("body of "+a.bodyName()))
 	if err != nil {
-		c.w.fail(err)
+		c.testbed.recordError(err)
 		return 0
 	}
 	req.GetBody = nil
 	req.Host = "h.example"
-	for name, value := range map[string]string{"Attempt-Id": a.id, "Api-Key": a.key, "Deadline-Ms": strconv.FormatInt(patience.Milliseconds(), 10), "Model": "m",
+	for name, value := range map[string]string{"Attempt-Id": a.id, "Api-Key": a.key, "Deadline-Ms": strconv.FormatInt(callerTimeout.Milliseconds(), 10), "Model": "m",
 		"Token-Counts": "200,50"} {
 		req.Header.Set(name, value)
 	}
@@ -185,52 +186,54 @@
 	defer func() { _ = resp.Body.Close() }()
 	a.status = resp.StatusCode
 	if echo := resp.Header.Get("Attempt-Id"); echo != "" && echo != a.id {
-		a.broken = "it answers " + echo
+		a.problem = "the response belongs to request " + echo
 	}
 	if resp.StatusCode != http.StatusOK {
 		_, err := io.Copy(io.Discard, resp.Body)
-		a.whole = err == nil
+		a.complete = err == nil
 		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		return time.Duration(seconds * float64(time.Second))
 	}
-	if a.class == streamed {
-		a.whole, a.broken = readStream(resp.Body, a)
+	if a.class == streamRequest {
+		a.complete, a.problem = readStream(resp.Body, a)
 		return 0
 	}
 	body, err := io.ReadAll(resp.Body)
-	a.whole = err == nil
-	if want := "answer of api to " + path; a.whole && string(body) != want {
-		a.broken = fmt.Sprintf("answered %q, not %q", body, want)
+	a.complete = err == nil
+	if expected := "answer of api to " + path; a.complete && string(body) != expected {
+		a.problem = fmt.Sprintf("body is %q, want %q", body, expected)
 	}
 	return 0
 }
 
-// readStream reads events, and says whether all came and what was wrong with them.
-func readStream(r io.Reader, a *call) (whole bool, broken string) {
+// readStream reads the events of a response. It reports whether all of them arrived, and what was
+// wrong with them.
+func readStream(r io.Reader, a *call) (complete bool, problem string) {
 	next := 1
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		if id, ok := strings.CutPrefix(lines.Text(), "id: "); ok {
 			if id != strconv.Itoa(next) {
-				return false, fmt.Sprintf("event %s came, not %d", id, next)
+				return false, fmt.Sprintf("received event %s, want %d", id, next)
 			}
 			next++
 		}
 		if data, ok := strings.CutPrefix(lines.Text(), "data: "); ok && !strings.HasPrefix(data, a.id+" ") {
-			return false, fmt.Sprintf("event %d is %q", next-1, data)
+			return false, fmt.Sprintf("event %d has data %q", next-1, data)
 		}
 	}
 	if lines.Err() != nil {
-		return false, a.broken
+		return false, a.problem
 	}
 	if next != a.events+1 {
-		return false, fmt.Sprintf("it ended well after %d events", next-1)
+		return false, fmt.Sprintf("the stream ended without an error after %d events", next-1)
 	}
-	return true, a.broken
+	return true, a.problem
 }
 
-// smuggled are requests that hold a second one, or are cut off; no upstream may see either.
-var smuggled = []string{
+// smuggledRequests are malformed requests that hide a second one or are truncated; no upstream may
+// receive either.
+var smuggledRequests = []string{
 	"POST /read/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: smuggled-a\r\nApi-Key: key-7\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /read/y HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: smuggled-b\r\nApi-Key: key-7\r\nContent-Length: 0\r\n\r\n",
 	"POST /read/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: smuggled-c\r\nContent-Length: 1\r\nContent-Length: 30\r\n\r\nx",
 	"POST /read/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: smuggled-d\r\nApi-Key: key-7\r\nContent-Length: 50\r\n\r\ncut off",
@@ -239,14 +242,14 @@
 
 const smuggleInterval = 700 * time.Millisecond
 
-func (c *callers) smuggle(ctx context.Context) {
+func (c *callers) sendSmuggled(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(smuggleInterval)
-		conn, err := net.DialTimeout("tcp", c.w.addr(roleNode, i%len(c.w.nodes), listenPort), time.Second)
+		conn, err := net.DialTimeout("tcp", c.testbed.addr(roleNode, i%len(c.testbed.nodes), listenPort), time.Second)
 		if err != nil {
 			continue
 		}
-		_, _ = io.WriteString(conn, smuggled[i%len(smuggled)])
+		_, _ = io.WriteString(conn, smuggledRequests[i%len(smuggledRequests)])
 		time.Sleep(50 * time.Millisecond)
 		_ = conn.Close()
 	}
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -9,20 +9,21 @@
 	"github.com/marbleroad/marbleroad/test/standin/groupengine"
 )
 
-// Bounds that the checks judge by; each is what the users' pages allow.
+// Limits that the checks apply; each is what the users' documentation states.
 const (
-	// contact is how long a node must be undisturbed to be bound by times.
-	contact = 3 * time.Second
-	// drainBound and applyBound are within what a leaving VM gets nothing and a change holds.
+	// reconnectTime is how long a node must have been undisturbed before time limits apply to it.
+	reconnectTime = 3 * time.Second
+	// drainBound is the time after which a leaving VM must receive no more requests, applyBound
+	// the time after which an accepted change must be in force.
 	drainBound = 2 * time.Second
 	applyBound = 2 * time.Second
-	// leftBound is within what work ends for callers that left.
-	leftBound = 500 * time.Millisecond
-	// refusalBound is within what a request that nobody was asked for is refused.
+	// cancelBound is the time within which work for a disconnected caller must stop.
+	cancelBound = 500 * time.Millisecond
+	// refusalBound is the time within which a request that was sent to no upstream must be refused.
 	refusalBound = 500 * time.Millisecond
 )
 
-// violation is one broken promise.
+// violation is one failed check.
 type violation struct {
 	check   string
 	detail  string
@@ -36,130 +37,136 @@
 	return v.check + ": " + v.detail + " (request " + v.request + ")"
 }
 
-// judge is the oracle: it knows the promises and what was seen, and nothing of the product.
-type judge struct {
-	h *history
-	// slack is added to each bound, for a busy machine.
-	slack time.Duration
-	calls map[string]call
-	found []violation
+// checker is the test oracle: it compares the guarantees with what was observed from outside and
+// uses none of the product's code or internal state.
+type checker struct {
+	history *history
+	// slack is added to each time limit, for a busy machine.
+	slack      time.Duration
+	calls      map[string]call
+	violations []violation
 }
 
-// check judges a whole run.
-func check(h *history, slack time.Duration) []violation {
+// checkHistory runs all checks on the history of a run and returns the violations.
+func checkHistory(h *history, slack time.Duration) []violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := &judge{h: h, slack: slack, calls: make(map[string]call)}
+	ck := &checker{history: h, slack: slack, calls: make(map[string]call)}
 	for _, c := range h.calls {
-		j.calls[c.id] = c
+		ck.calls[c.id] = c
 	}
-	for _, look := range []func(){j.answers, j.notRun, j.once, j.asked, j.groups, j.leaving, j.changes, j.revoked, j.repeats, j.leavers, j.refusals, j.held, j.cuts, j.blames, j.crashing, j.needs} {
-		look()
+	for _, checkFunc := range []func(){ck.checkResponses, ck.checkNotRun, ck.checkAttempts, ck.checkRequested, ck.checkGroups, ck.checkLeavingUpstreams, ck.checkChanges, ck.checkRevokedKeys, ck.checkRepeatBudget, ck.checkCanceledWork, ck.checkRefusalTimes, ck.checkDeadlines, ck.checkInterruptions, ck.checkStalledNodes, ck.checkCrashingRequests, ck.checkConditions} {
+		checkFunc()
 	}
-	return j.found
+	return ck.violations
 }
 
-func (j *judge) report(check, request, format string, args ...any) {
-	j.found = append(j.found, violation{check, fmt.Sprintf(format, args...), request})
+func (ck *checker) report(check, request, format string, args ...any) {
+	ck.violations = append(ck.violations, violation{check, fmt.Sprintf(format, args...), request})
 }
 
-// inTouch reports whether nothing disturbed the node, or everything, for long enough before then.
-func (j *judge) inTouch(node int, at time.Time) bool {
-	for _, s := range j.h.spans {
-		concerns := s.node == node || s.node == everyNode
-		if concerns && s.from.Before(at) && s.to.Add(contact).After(at) {
+// undisturbed reports whether no disturbance of the node, or of all nodes, was active at the time or
+// within reconnectTime before it.
+func (ck *checker) undisturbed(node int, at time.Time) bool {
+	for _, d := range ck.history.disturbances {
+		affects := d.node == node || d.node == everyNode
+		if affects && d.from.Before(at) && d.to.Add(reconnectTime).After(at) {
 			return false
 		}
 	}
 	return true
 }
 
-// calm reports whether nothing at all was disturbed between two moments, nor just before.
-func (j *judge) calm(from, to time.Time, but func(span) bool) bool {
-	for _, s := range j.h.spans {
-		if !but(s) && s.from.Before(to) && s.to.Add(contact).After(from) {
+// allUndisturbed reports whether no disturbance, other than the excepted ones, was active between two
+// times or within reconnectTime before them.
+func (ck *checker) allUndisturbed(from, to time.Time, except func(disturbance) bool) bool {
+	for _, d := range ck.history.disturbances {
+		if !except(d) && d.from.Before(to) && d.to.Add(reconnectTime).After(from) {
 			return false
 		}
 	}
 	return true
 }
 
-// answers: a caller gets its own whole answer; one that breaks off does not look whole.
-func (j *judge) answers() {
-	for _, c := range j.h.calls {
-		if c.broken != "" {
-			j.report("own whole answer", c.id, "%s", c.broken)
+// checkResponses checks that a caller gets the complete response to its own request, and that a
+// truncated response does not look complete.
+func (ck *checker) checkResponses() {
+	for _, c := range ck.history.calls {
+		if c.problem != "" {
+			ck.report("own whole answer", c.id, "%s", c.problem)
 		}
 	}
 }
 
-// notRun: what was refused as not run did not run, also later.
-func (j *judge) notRun() {
-	for _, o := range j.h.seen {
+// checkNotRun checks that requests refused as not run did not run, not even later.
+func (ck *checker) checkNotRun() {
+	for _, o := range ck.history.observations {
 		if o.Kind != groupengine.Ran {
 			continue
 		}
-		switch c := j.calls[o.Request]; c.status {
+		switch c := ck.calls[o.Request]; c.status {
 		case 408, 421, 429, 503:
-			j.report("not run is true", o.Request, "answered %d, and ran at %s", c.status, o.VM)
+			ck.report("not run is true", o.Request, "answered %d, and ran at %s", c.status, o.VM)
 		}
 	}
 }
 
-// once: a non-idempotent request runs at most once, others on no more upstreams than they may.
-func (j *judge) once() {
+// checkAttempts checks that a non-idempotent request runs at most once, and others on no more
+// upstreams than their route allows.
+func (ck *checker) checkAttempts() {
 	ran, counted := make(map[string]int), make(map[string]int)
-	for _, o := range j.h.seen {
+	for _, o := range ck.history.observations {
 		if o.Kind != groupengine.Ran {
 			continue
 		}
 		ran[o.Request]++
-		if !j.endedSoon(o) {
+		if !ck.terminatedSoonAfter(o) {
 			counted[o.Request]++
 		}
 	}
 	for id, n := range ran {
-		if j.calls[id].class == written && n > 1 {
-			j.report("at most once", id, "ran %d times", n)
+		if ck.calls[id].class == nonIdempotentWrite && n > 1 {
+			ck.report("at most once", id, "ran %d times", n)
 		}
-		if counted[id] > attempts {
-			j.report("attempts", id, "ran %d times, %d are allowed", counted[id], attempts)
+		if counted[id] > maxAttempts {
+			ck.report("attempts", id, "ran %d times, %d are allowed", counted[id], maxAttempts)
 		}
 	}
 }
 
-// endedSoon reports whether a VM ended while a request that it began might run there; such a run is
-// no attempt.
-func (j *judge) endedSoon(o groupengine.Observation) bool {
-	for _, d := range j.h.ends {
-		if d.vm == o.VM && !d.at.Before(o.At) && d.at.Sub(o.At) < patience {
+// terminatedSoonAfter reports whether the VM was terminated while a request that it started may still
+// have been running there. Such a run does not count as an attempt.
+func (ck *checker) terminatedSoonAfter(o groupengine.Observation) bool {
+	for _, d := range ck.history.terminations {
+		if d.vm == o.VM && !d.at.Before(o.At) && d.at.Sub(o.At) < callerTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// asked: nothing runs that no caller asked for.
-func (j *judge) asked() {
-	for _, o := range j.h.seen {
-		if _, known := j.calls[o.Request]; o.Kind == groupengine.Ran && (!known || strings.HasPrefix(o.Request, "smuggled")) {
-			j.report("asked for", o.Request, "ran at %s, target %s", o.VM, o.Target)
+// checkRequested checks that only requests that callers sent are run.
+func (ck *checker) checkRequested() {
+	for _, o := range ck.history.observations {
+		if _, known := ck.calls[o.Request]; o.Kind == groupengine.Ran && (!known || strings.HasPrefix(o.Request, "smuggled")) {
+			ck.report("asked for", o.Request, "ran at %s, target %s", o.VM, o.Target)
 		}
 	}
 }
 
-// place names one generation of a group.
-type place struct {
+// groupGeneration identifies one generation of a group.
+type groupGeneration struct {
 	group string
 	epoch uint64
 }
 
-// groups: a head opens only when every member has been ready under the same name, generation
-// and list, and no VM is taken from a head that may serve.
-func (j *judge) groups() {
-	ready := make(map[place]map[string][]string)
-	for _, o := range j.h.seen {
-		p := place{o.Group, o.Epoch}
+// checkGroups checks that a head opens only when every member has been ready with the same name,
+// generation and list of members, and that no VM joins another group while the head of its old
+// one may serve.
+func (ck *checker) checkGroups() {
+	ready := make(map[groupGeneration]map[string][]string)
+	for _, o := range ck.history.observations {
+		p := groupGeneration{o.Group, o.Epoch}
 		switch o.Kind {
 		case groupengine.BecameReady:
 			if ready[p] == nil {
@@ -167,127 +174,132 @@
 			}
 			ready[p][o.VM] = o.Members
 		case groupengine.Opened:
-			j.complete(o, ready[p])
+			ck.checkGroupComplete(o, ready[p])
 		}
 	}
-	for _, o := range j.h.taken {
-		j.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.Old.Name)
+	for _, o := range ck.history.joinsFromOpenGroups {
+		ck.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.Old.Name)
 	}
 }
 
-// complete: at an open order all members have been ready with the same list.
-func (j *judge) complete(o groupengine.Observation, ready map[string][]string) {
+// checkGroupComplete checks that all members of a group that is opened have been ready with the same
+// list of members.
+func (ck *checker) checkGroupComplete(o groupengine.Observation, ready map[string][]string) {
 	if len(o.Members) != groupSize {
-		j.report("no half-formed group", "", "%s opened %s with %d members", o.VM, o.Group, len(o.Members))
+		ck.report("no half-formed group", "", "%s opened %s with %d members", o.VM, o.Group, len(o.Members))
 	}
 	for _, id := range o.Members {
 		if !slices.Equal(ready[id], o.Members) {
-			j.report("no half-formed group", "", "%s opened %s, in which %s was never ready with the same list", o.VM, o.Group, id)
+			ck.report("no half-formed group", "", "%s opened %s, in which %s was never ready with the same list", o.VM, o.Group, id)
 		}
 	}
 }
 
-// leaving: a VM that left gets nothing after the bound from nodes in touch.
-func (j *judge) leaving() {
-	for _, d := range j.h.departures {
-		if !j.stable(d.at) {
+// checkLeavingUpstreams checks that a leaving VM receives no requests from connected nodes after
+// drainBound.
+func (ck *checker) checkLeavingUpstreams() {
+	for _, departure := range ck.history.departures {
+		if !ck.storeUndisturbed(departure.at) {
 			continue
 		}
-		for _, o := range j.h.seen {
-			c, known := j.calls[o.Request]
-			late := o.At.Sub(d.at)
-			if o.Kind == groupengine.Arrived && o.VM == d.vm && known && late > drainBound+j.slack && j.inTouch(c.node, c.sent) && j.inTouch(c.node, o.At) {
-				j.report("leaving upstreams", o.Request, "reached %s %d ms after it left", d.vm, late.Milliseconds())
+		for _, o := range ck.history.observations {
+			c, known := ck.calls[o.Request]
+			late := o.At.Sub(departure.at)
+			if o.Kind == groupengine.Arrived && o.VM == departure.vm && known && late > drainBound+ck.slack && ck.undisturbed(c.node, c.sent) && ck.undisturbed(c.node, o.At) {
+				ck.report("leaving upstreams", o.Request, "reached %s %d ms after it left", departure.vm, late.Milliseconds())
 			}
 		}
 	}
 }
 
-// stable reports whether the store was undisturbed for long enough before then.
-func (j *judge) stable(at time.Time) bool { return j.inTouch(everyNode, at) }
+// storeUndisturbed reports whether no disturbance of all nodes, such as a store outage, was active at
+// the time or within reconnectTime before it.
+func (ck *checker) storeUndisturbed(at time.Time) bool { return ck.undisturbed(everyNode, at) }
 
-// changes: an accepted change holds in time, and never reverts in one life of a node.
-func (j *judge) changes() {
+// checkChanges checks that an accepted change is in force within applyBound, and that no incarnation of
+// a node reverts it.
+func (ck *checker) checkChanges() {
 	acceptedAt := make(map[int]time.Time)
-	for _, v := range j.h.versions {
+	for _, v := range ck.history.versions {
 		acceptedAt[v.version] = v.at
 	}
-	type life struct{ node, life, version int }
-	held := make(map[life]time.Time)
-	for _, c := range j.h.calls {
-		if c.class == probed && c.status == 200 {
-			l := life{c.node, c.life, c.version}
-			if old, ok := held[l]; !ok || c.ended.Before(old) {
-				held[l] = c.ended
+	type probedVersion struct{ node, incarnation, version int }
+	firstServed := make(map[probedVersion]time.Time)
+	for _, c := range ck.history.calls {
+		if c.class == routeProbe && c.status == 200 {
+			l := probedVersion{c.node, c.incarnation, c.version}
+			if old, ok := firstServed[l]; !ok || c.finished.Before(old) {
+				firstServed[l] = c.finished
 			}
 		}
 	}
-	for _, c := range j.h.calls {
-		if c.class != probed || c.status != 404 {
+	for _, c := range ck.history.calls {
+		if c.class != routeProbe || c.status != 404 {
 			continue
 		}
-		if late := c.sent.Sub(acceptedAt[c.version]); late > applyBound+j.slack && j.inTouch(c.node, c.sent) {
-			j.report("changes hold in time", c.id, "node %d knows nothing of version %d after %d ms", c.node, c.version, late.Milliseconds())
+		if late := c.sent.Sub(acceptedAt[c.version]); late > applyBound+ck.slack && ck.undisturbed(c.node, c.sent) {
+			ck.report("changes hold in time", c.id, "node %d has not applied version %d after %d ms", c.node, c.version, late.Milliseconds())
 		}
-		if at, ok := held[life{c.node, c.life, c.version}]; ok && at.Add(250*time.Millisecond).Before(c.sent) {
-			j.report("changes never revert", c.id, "node %d no longer knows version %d", c.node, c.version)
+		if at, ok := firstServed[probedVersion{c.node, c.incarnation, c.version}]; ok && at.Add(250*time.Millisecond).Before(c.sent) {
+			ck.report("changes never revert", c.id, "node %d reverted version %d", c.node, c.version)
 		}
 	}
 }
 
-// revoked: a revoked key ends everywhere, in touch or not.
-func (j *judge) revoked() {
-	ended := make(map[string]time.Time)
-	for _, v := range j.h.versions {
-		if v.revoked != "" {
-			ended[v.revoked] = v.at
+// checkRevokedKeys checks that all nodes, connected or not, reject a revoked key after revokeBound.
+func (ck *checker) checkRevokedKeys() {
+	revokedAt := make(map[string]time.Time)
+	for _, v := range ck.history.versions {
+		if v.revokedKey != "" {
+			revokedAt[v.revokedKey] = v.at
 		}
 	}
-	for _, o := range j.h.seen {
-		c := j.calls[o.Request]
-		if at, ok := ended[c.key]; ok && o.Kind == groupengine.Ran && c.sent.Sub(at) > revokeBound {
-			j.report("revoked keys end", o.Request, "ran with a key that was revoked %d ms before it was sent", c.sent.Sub(at).Milliseconds())
+	for _, o := range ck.history.observations {
+		c := ck.calls[o.Request]
+		if at, ok := revokedAt[c.key]; ok && o.Kind == groupengine.Ran && c.sent.Sub(at) > revokeBound {
+			ck.report("revoked keys end", o.Request, "ran with a key that was revoked %d ms before it was sent", c.sent.Sub(at).Milliseconds())
 		}
 	}
 }
 
-// repeats: over any window the arrivals beyond the first stay within the budget.
-func (j *judge) repeats() {
-	type service struct{ again, asked []time.Time }
+// checkRepeatBudget checks that the repeated arrivals of requests in any window stay within the
+// budget for repeats.
+func (ck *checker) checkRepeatBudget() {
+	type service struct{ repeats, requests []time.Time }
 	services := map[bool]*service{true: {}, false: {}}
-	first := make(map[string]bool)
-	for _, c := range j.h.calls {
-		s := services[c.class == streamed]
-		s.asked = append(s.asked, c.sent)
+	arrived := make(map[string]bool)
+	for _, c := range ck.history.calls {
+		s := services[c.class == streamRequest]
+		s.requests = append(s.requests, c.sent)
 	}
-	for _, o := range j.h.seen {
-		c, known := j.calls[o.Request]
+	for _, o := range ck.history.observations {
+		c, known := ck.calls[o.Request]
 		if o.Kind != groupengine.Arrived || !known {
 			continue
 		}
-		if !first[o.Request] {
-			first[o.Request] = true
+		if !arrived[o.Request] {
+			arrived[o.Request] = true
 			continue
 		}
-		s := services[c.class == streamed]
-		s.again = append(s.again, o.At)
+		s := services[c.class == streamRequest]
+		s.repeats = append(s.repeats, o.At)
 	}
-	for models, s := range services {
-		for _, from := range s.again {
-			most := 0
-			for _, back := range []time.Duration{0, repeatWindow / 2, repeatWindow} {
-				most = max(most, within(s.asked, from.Add(-back)))
+	for streaming, s := range services {
+		for _, from := range s.repeats {
+			maxRequests := 0
+			for _, offset := range []time.Duration{0, repeatWindow / 2, repeatWindow} {
+				maxRequests = max(maxRequests, countInWindow(s.requests, from.Add(-offset)))
 			}
-			if n := within(s.again, from); float64(n) > repeatRatio*float64(most)+repeatExtra {
-				j.report("budget for repeats", "", "%d repeats in one window for %d requests, model service: %t", n, most, models)
+			if n := countInWindow(s.repeats, from); float64(n) > repeatRatio*float64(maxRequests)+repeatExtra {
+				ck.report("budget for repeats", "", "%d repeats in one window with %d requests, model service: %t", n, maxRequests, streaming)
 				break
 			}
 		}
 	}
 }
 
-// within counts the moments of the window that begins then.
-func within(times []time.Time, from time.Time) int {
+// countInWindow counts the times in the window that starts at from.
+func countInWindow(times []time.Time, from time.Time) int {
 	n := 0
 	for _, at := range times {
 		if !at.Before(from) && at.Before(from.Add(repeatWindow)) {
@@ -297,93 +309,95 @@
 	return n
 }
 
-// leavers: work for callers that left ends soon, but for a few.
-func (j *judge) leavers() {
-	const few = 4
-	ended := make(map[string]time.Time)
-	for _, o := range j.h.seen {
-		if o.Kind == groupengine.Ended && o.At.After(ended[o.Request]) {
-			ended[o.Request] = o.At
+// checkCanceledWork checks that work for disconnected callers stops within cancelBound, with few
+// exceptions.
+func (ck *checker) checkCanceledWork() {
+	const tolerated = 4
+	finished := make(map[string]time.Time)
+	for _, o := range ck.history.observations {
+		if o.Kind == groupengine.Ended && o.At.After(finished[o.Request]) {
+			finished[o.Request] = o.At
 		}
 	}
-	left, late := 0, 0
-	for _, c := range j.h.calls {
-		if c.left.IsZero() || !j.inTouch(c.node, c.left) || ended[c.id].IsZero() {
+	disconnected, late := 0, 0
+	for _, c := range ck.history.calls {
+		if c.disconnectedAt.IsZero() || !ck.undisturbed(c.node, c.disconnectedAt) || finished[c.id].IsZero() {
 			continue
 		}
-		left++
-		if ended[c.id].Sub(c.left) > leftBound+j.slack/2 {
+		disconnected++
+		if finished[c.id].Sub(c.disconnectedAt) > cancelBound+ck.slack/2 {
 			late++
 		}
 	}
-	if late > few && late*4 > left {
-		j.report("work for callers that left", "", "%d of %d went on for longer than %s", late, left, leftBound)
+	if late > tolerated && late*4 > disconnected {
+		ck.report("work for callers that left", "", "%d of %d requests ran on for longer than %s", late, disconnected, cancelBound)
 	}
 }
 
-// refusals: what no upstream was asked for is refused at once.
-func (j *judge) refusals() {
+// checkRefusalTimes checks that a request that reached no upstream is refused within refusalBound.
+func (ck *checker) checkRefusalTimes() {
 	arrived := make(map[string]bool)
-	for _, o := range j.h.seen {
+	for _, o := range ck.history.observations {
 		if o.Kind == groupengine.Arrived {
 			arrived[o.Request] = true
 		}
 	}
-	for _, c := range j.h.calls {
-		took := c.ended.Sub(c.sent)
-		if c.status == 503 && !arrived[c.id] && took > refusalBound+j.slack && j.inTouch(c.node, c.ended) && j.calmUpstreams(c) {
-			j.report("refusals come at once", c.id, "refused after %d ms", took.Milliseconds())
+	for _, c := range ck.history.calls {
+		elapsed := c.finished.Sub(c.sent)
+		if c.status == 503 && !arrived[c.id] && elapsed > refusalBound+ck.slack && ck.undisturbed(c.node, c.finished) && ck.upstreamsUndisturbed(c) {
+			ck.report("refusals come at once", c.id, "refused after %d ms", elapsed.Milliseconds())
 		}
 	}
 }
 
-// calmUpstreams reports whether no way to an upstream was disturbed during the call.
-func (j *judge) calmUpstreams(c call) bool {
-	return j.calm(c.sent, c.ended, func(s span) bool { return s.node != anUpstream })
+// upstreamsUndisturbed reports whether no upstream or link to one was disturbed during the call.
+func (ck *checker) upstreamsUndisturbed(c call) bool {
+	return ck.allUndisturbed(c.sent, c.finished, func(d disturbance) bool { return d.node != anUpstream })
 }
 
-// held: a caller has its answer by the end of its time.
-func (j *judge) held() {
-	for _, c := range j.h.calls {
-		took := c.ended.Sub(c.sent)
-		if c.left.IsZero() && took > patience+leftBound+j.slack && j.inTouch(c.node, c.ended) {
-			j.report("answers by the deadline", c.id, "held for %d ms by node %d", took.Milliseconds(), c.node)
+// checkDeadlines checks that a caller gets a response by its deadline.
+func (ck *checker) checkDeadlines() {
+	for _, c := range ck.history.calls {
+		elapsed := c.finished.Sub(c.sent)
+		if c.disconnectedAt.IsZero() && elapsed > callerTimeout+cancelBound+ck.slack && ck.undisturbed(c.node, c.finished) {
+			ck.report("answers by the deadline", c.id, "node %[2]d responded after %[1]d ms", elapsed.Milliseconds(), c.node)
 		}
 	}
 }
 
-// cuts: nothing that a node had passed on is cut while only planned work goes on, a graceful stop of
-// that node or others among it.
-func (j *judge) cuts() {
-	arrived := j.arrivals()
-	for _, c := range j.h.calls {
-		if !c.left.IsZero() || c.whole || c.crashes || len(arrived[c.id]) == 0 || j.crashedDuring(c) || !j.calm(c.sent, c.ended, planned) {
+// checkInterruptions checks that no request that reached an upstream is interrupted while there are
+// only planned operations, such as a graceful stop of its node or of another one.
+func (ck *checker) checkInterruptions() {
+	runs := ck.runTimes()
+	for _, c := range ck.history.calls {
+		if !c.disconnectedAt.IsZero() || c.complete || c.crashesUpstreams || len(runs[c.id]) == 0 || ck.crashedDuring(c) || !ck.allUndisturbed(c.sent, c.finished, isPlanned) {
 			continue
 		}
 		check := "nothing passed on is cut"
-		if j.stoppedDuring(c) {
+		if ck.stoppedDuring(c) {
 			check = "a stop cuts nothing"
 		}
-		j.report(check, c.id, "by node %d after %d ms; status %d, not whole", c.node, c.ended.Sub(c.sent).Milliseconds(), c.status)
+		ck.report(check, c.id, "interrupted by node %d after %d ms; status %d, response incomplete", c.node, c.finished.Sub(c.sent).Milliseconds(), c.status)
 	}
 }
 
-// blames: while upstreams are well, a node that is held up sends no request a second time.
-func (j *judge) blames() {
-	wellOrPaused := func(s span) bool { return planned(s) || s.what == NodePause }
-	for id, at := range j.arrivals() {
-		c, known := j.calls[id]
-		if !known || len(at) < 2 || c.crashes || j.crashedDuring(c) || !j.calm(c.sent, c.ended, wellOrPaused) {
+// checkStalledNodes checks that a node that was paused does not repeat requests while the upstreams
+// are healthy, which it would do if it took its own pause for stalls of theirs.
+func (ck *checker) checkStalledNodes() {
+	plannedOrPaused := func(d disturbance) bool { return isPlanned(d) || d.kind == NodePause }
+	for id, at := range ck.runTimes() {
+		c, known := ck.calls[id]
+		if !known || len(at) < 2 || c.crashesUpstreams || ck.crashedDuring(c) || !ck.allUndisturbed(c.sent, c.finished, plannedOrPaused) {
 			continue
 		}
-		j.report("a held-up node blames nobody", id, "node %d had it begin %d times", c.node, len(at))
+		ck.report("a held-up node blames nobody", id, "node %d caused it to run %d times", c.node, len(at))
 	}
 }
 
-// arrivals are when each request began to run, by its ID.
-func (j *judge) arrivals() map[string][]time.Time {
+// runTimes returns the times at which each request started to run, by request ID.
+func (ck *checker) runTimes() map[string][]time.Time {
 	out := make(map[string][]time.Time)
-	for _, o := range j.h.seen {
+	for _, o := range ck.history.observations {
 		if o.Kind == groupengine.Ran {
 			out[o.Request] = append(out[o.Request], o.At)
 		}
@@ -391,19 +405,19 @@
 	return out
 }
 
-// planned reports whether a span is of planned work, or of callers alone.
-func planned(s span) bool { return s.what == NodeStop || s.node == callersOnly }
+// isPlanned reports whether a disturbance is a graceful stop or concerns only callers.
+func isPlanned(d disturbance) bool { return d.kind == NodeStop || d.node == callersOnly }
 
-// stoppedDuring reports whether the call's node was stopping during the call.
-func (j *judge) stoppedDuring(c call) bool {
-	return slices.ContainsFunc(j.h.spans, func(s span) bool {
-		return s.what == NodeStop && s.node == c.node && c.ended.After(s.from) && c.sent.Before(s.to)
+// stoppedDuring reports whether the call's node was stopping or stopped during the call.
+func (ck *checker) stoppedDuring(c call) bool {
+	return slices.ContainsFunc(ck.history.disturbances, func(d disturbance) bool {
+		return d.kind == NodeStop && d.node == c.node && c.finished.After(d.from) && c.sent.Before(d.to)
 	})
 }
 
-// crashedDuring reports whether a VM ended by a request during the call, or shortly before.
-func (j *judge) crashedDuring(c call) bool {
-	return slices.ContainsFunc(j.h.crashes, func(d departure) bool {
-		return d.at.Before(c.ended) && d.at.Add(contact).After(c.sent)
+// crashedDuring reports whether a request crashed a VM during the call or shortly before it.
+func (ck *checker) crashedDuring(c call) bool {
+	return slices.ContainsFunc(ck.history.crashes, func(d vmEvent) bool {
+		return d.at.Before(c.finished) && d.at.Add(reconnectTime).After(c.sent)
 	})
 }
--- a/test/soak/conditions.go
+++ b/test/soak/conditions.go
@@ -10,116 +10,123 @@
 )
 
 const (
-	// namedLimit is what a VM in need takes a second from all nodes together.
-	namedLimit = 1.5
-	// limitWindow is over what its requests are counted, limitFactor and limitExtra how many may come.
+	// reportedLimit is the limit, in requests per second from all nodes together, that an
+	// overloaded VM reports.
+	reportedLimit = 1.5
+	// Within limitWindow such a VM may receive limitFactor times the reported limit plus
+	// limitExtra requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitExtra  = 5
-	// wantedRest is how long a VM wants to be left alone, restFree how many requests may come in it.
-	wantedRest = 6 * time.Second
-	restFree   = 2
-	// heardWithin is how long after its answer a VM counts as heard.
-	heardWithin = 500 * time.Millisecond
+	// requestedBackoff is the backoff that a VM asks for, maxBackoffRequests how many requests one
+	// node may send during it.
+	requestedBackoff   = 6 * time.Second
+	maxBackoffRequests = 2
+	// reportDelay is the time after a response by which its node must apply what the VM reported.
+	reportDelay = 500 * time.Millisecond
 )
 
-// need is a time in which a VM said something of its own condition with all its answers.
-type need struct {
+// reportedCondition is a period in which a VM reported a condition with all its responses.
+type reportedCondition struct {
 	kind     Kind
 	vm       string
 	from, to time.Time
 }
 
-// beginSaying has one fault at a time have a VM say something of itself.
-func (w *world) beginSaying(u *upstream) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if u.says {
+// claimCondition reports whether the fault may set the condition that a VM reports: one fault at a
+// time may.
+func (tb *testbed) claimCondition(u *upstream) bool {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if u.reportsCondition {
 		return false
 	}
-	u.says = true
+	u.reportsCondition = true
 	return true
 }
 
-func (w *world) endSaying(u *upstream) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	u.says = false
+func (tb *testbed) releaseCondition(u *upstream) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	u.reportsCondition = false
 }
 
-// says has a VM say something of itself for as long as a fault lasts, if it says nothing yet.
-func (w *world) says(f Fault, u *upstream, h http.Header, refuse bool) {
-	if !w.beginSaying(u) {
+// reportCondition makes a VM report a condition for the fault's duration, unless it already reports
+// one.
+func (tb *testbed) reportCondition(f Fault, u *upstream, h http.Header, refuse bool) {
+	if !tb.claimCondition(u) {
 		return
 	}
-	defer w.endSaying(u)
+	defer tb.releaseCondition(u)
 	from := time.Now()
 	u.vm.Condition.Store(&h)
 	if refuse {
 		u.vm.Refuse.Store(true)
 	}
 	time.Sleep(f.For)
-	w.history.needed(need{f.Kind, u.id, from, time.Now()})
+	tb.history.recordCondition(reportedCondition{f.Kind, u.id, from, time.Now()})
 	u.vm.Condition.Store(nil)
 	if refuse {
 		u.vm.Refuse.Store(false)
 	}
-	w.history.disturbed(span{node: anUpstream, from: from, to: time.Now(), what: f.Kind})
+	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: f.Kind})
 }
 
-// saysItLeaves has a VM say so with its answers alone; its entry goes when it ends.
-func (w *world) saysItLeaves(f Fault, u *upstream) {
-	if !w.beginSaying(u) {
+// reportLeaving makes a VM report that it leaves with its responses alone. Its entry stays in the store
+// until the VM is terminated.
+func (tb *testbed) reportLeaving(f Fault, u *upstream) {
+	if !tb.claimCondition(u) {
 		return
 	}
-	w.retire(u, f, func() {
+	tb.replaceUpstream(u, f, func() {
 		from := time.Now()
 		u.vm.Condition.Store(&http.Header{"Server-Leaving": {"1"}})
 		time.Sleep(f.For)
-		w.history.needed(need{f.Kind, u.id, from, time.Now()})
+		tb.history.recordCondition(reportedCondition{f.Kind, u.id, from, time.Now()})
 		u.vm.Leave()
-		w.end(u)
+		tb.terminate(u)
 	})
 }
 
-// serving finds a VM that takes requests, so that it is heard.
-func serving(live []*upstream, target int) *upstream {
-	taking := slices.DeleteFunc(slices.Clone(live), func(u *upstream) bool {
+// pickServing picks a VM that receives requests, so that nodes get responses from it.
+func pickServing(live []*upstream, target int) *upstream {
+	candidates := slices.DeleteFunc(slices.Clone(live), func(u *upstream) bool {
 		return !u.plain && (u.vm.Rank() != 0 || u.vm.State() != "open")
 	})
-	if len(taking) == 0 {
+	if len(candidates) == 0 {
 		return live[target%len(live)]
 	}
-	return taking[target%len(taking)]
+	return candidates[target%len(candidates)]
 }
 
-func (h *history) needed(n need) {
+func (h *history) recordCondition(rc reportedCondition) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.needs = append(h.needs, n)
-}
-
-// needs: what VMs say of themselves is kept by the nodes that they have answered.
-func (j *judge) needs() {
-	for _, n := range j.h.needs {
-		switch n.kind {
-		case UpstreamLimits:
-			j.limit(n)
-		case UpstreamRests:
-			j.rest(n)
-		case UpstreamSays:
-			j.saidItLeaves(n)
+	h.conditions = append(h.conditions, rc)
+}
+
+// checkConditions checks that nodes obey the conditions that VMs reported in responses to them.
+func (ck *checker) checkConditions() {
+	for _, rc := range ck.history.conditions {
+		switch rc.kind {
+		case UpstreamReportsLimit:
+			ck.checkLimit(rc)
+		case UpstreamRequestsBackoff:
+			ck.checkBackoff(rc)
+		case UpstreamReportsLeaving:
+			ck.checkReportedLeaving(rc)
 		}
 	}
 }
 
-// limit: a VM gets no more than its limit allows, from all nodes that it has answered.
-func (j *judge) limit(n need) {
-	told := j.told(n)
+// checkLimit checks that a VM receives no more requests than its limit allows from the nodes that it
+// has responded to.
+func (ck *checker) checkLimit(rc reportedCondition) {
+	responses := ck.responsesByNode(rc)
 	var at []time.Time
-	for _, o := range j.arrivedAt(n) {
-		node := j.calls[o.Request].node
-		if o.At.After(n.from.Add(contact+j.slack)) && j.heardBefore(told[node], node, o.At) && j.inTouch(node, o.At) {
+	for _, o := range ck.arrivalsDuring(rc) {
+		node := ck.calls[o.Request].node
+		if o.At.After(rc.from.Add(reconnectTime+ck.slack)) && ck.reportedBefore(responses[node], node, o.At) && ck.undisturbed(node, o.At) {
 			at = append(at, o.At)
 		}
 	}
@@ -130,87 +137,91 @@
 				count++
 			}
 		}
-		if most := limitFactor*namedLimit*limitWindow.Seconds() + limitExtra; float64(count) > most {
-			j.report("limits of upstreams", "", "%s got %d requests in %s, %.0f allowed", n.vm, count, limitWindow, most)
+		if maxRequests := limitFactor*reportedLimit*limitWindow.Seconds() + limitExtra; float64(count) > maxRequests {
+			ck.report("limits of upstreams", "", "%s received %d requests in %s, %.0f allowed", rc.vm, count, limitWindow, maxRequests)
 			return
 		}
 	}
 }
 
-// rest: a node sends next to nothing to a VM that has asked it for rest.
-func (j *judge) rest(n need) {
-	for node, times := range j.told(n) {
+// checkBackoff checks that a node sends at most maxBackoffRequests to a VM that has asked it for
+// backoff.
+func (ck *checker) checkBackoff(rc reportedCondition) {
+	for node, times := range ck.responsesByNode(rc) {
 		last := slices.MaxFunc(times, time.Time.Compare)
 		count := 0
-		for _, o := range j.arrivedAt(n) {
-			sooner := o.At.Before(last.Add(heardWithin + j.slack))
-			if j.calls[o.Request].node == node && !sooner && o.At.Before(last.Add(wantedRest)) && j.heardBefore(times, node, o.At) && j.inTouch(node, o.At) {
+		for _, o := range ck.arrivalsDuring(rc) {
+			early := o.At.Before(last.Add(reportDelay + ck.slack))
+			if ck.calls[o.Request].node == node && !early && o.At.Before(last.Add(requestedBackoff)) && ck.reportedBefore(times, node, o.At) && ck.undisturbed(node, o.At) {
 				count++
 			}
 		}
-		if count > restFree {
-			j.report("rests of upstreams", "", "%s got %d requests from node %d in the rest that it had asked for", n.vm, count, node)
+		if count > maxBackoffRequests {
+			ck.report("rests of upstreams", "", "%s received %d requests from node %d during the backoff that it had asked for", rc.vm, count, node)
 		}
 	}
 }
 
-// saidItLeaves: a VM that says it leaves gets nothing more from nodes that it has answered, in touch or not.
-func (j *judge) saidItLeaves(n need) {
-	told := j.told(n)
-	for _, o := range j.arrivedAt(n) {
-		c := j.calls[o.Request]
-		if j.heardBefore(told[c.node], c.node, c.sent.Add(-drainBound-j.slack)) && !j.restarted(c.node, n.from, o.At) {
-			j.report("upstreams that say they leave", o.Request, "reached %s %s after it began to say so", n.vm, o.At.Sub(n.from).Round(time.Millisecond))
+// checkReportedLeaving checks that a VM that reports that it leaves receives no more requests from nodes
+// that it has responded to, connected or not.
+func (ck *checker) checkReportedLeaving(rc reportedCondition) {
+	responses := ck.responsesByNode(rc)
+	for _, o := range ck.arrivalsDuring(rc) {
+		c := ck.calls[o.Request]
+		if ck.reportedBefore(responses[c.node], c.node, c.sent.Add(-drainBound-ck.slack)) && !ck.interrupted(c.node, rc.from, o.At) {
+			ck.report("upstreams that say they leave", o.Request, "reached %s %s after it started to report that it leaves", rc.vm, o.At.Sub(rc.from).Round(time.Millisecond))
 		}
 	}
 }
 
-// told are when each node had an answer of the VM that said it.
-func (j *judge) told(n need) map[int][]time.Time {
+// responsesByNode returns the times at which requests of each node that were sent in the period
+// finished at the VM.
+func (ck *checker) responsesByNode(rc reportedCondition) map[int][]time.Time {
 	out := make(map[int][]time.Time)
-	for _, o := range j.h.seen {
-		c, known := j.calls[o.Request]
-		if o.VM == n.vm && o.Kind == groupengine.Ended && known && o.At.After(n.from) && o.At.Before(n.to) && c.sent.After(n.from) {
+	for _, o := range ck.history.observations {
+		c, known := ck.calls[o.Request]
+		if o.VM == rc.vm && o.Kind == groupengine.Ended && known && o.At.After(rc.from) && o.At.Before(rc.to) && c.sent.After(rc.from) {
 			out[c.node] = append(out[c.node], o.At)
 		}
 	}
 	return out
 }
 
-// arrivedAt are the requests that reached the VM since it began to say it.
-func (j *judge) arrivedAt(n need) []groupengine.Observation {
+// arrivalsDuring returns the requests that reached the VM while it reported the condition, and during
+// the requested backoff after it.
+func (ck *checker) arrivalsDuring(rc reportedCondition) []groupengine.Observation {
 	var out []groupengine.Observation
-	for _, o := range j.h.seen {
-		_, known := j.calls[o.Request]
-		until := n.to
-		if n.kind == UpstreamRests {
-			until = n.to.Add(wantedRest)
+	for _, o := range ck.history.observations {
+		_, known := ck.calls[o.Request]
+		until := rc.to
+		if rc.kind == UpstreamRequestsBackoff {
+			until = rc.to.Add(requestedBackoff)
 		}
-		if o.VM == n.vm && o.Kind == groupengine.Arrived && known && o.At.After(n.from) && o.At.Before(until) {
+		if o.VM == rc.vm && o.Kind == groupengine.Arrived && known && o.At.After(rc.from) && o.At.Before(until) {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// heardBefore reports whether a node had one of the answers for long enough before then, and has not been
-// started anew since.
-func (j *judge) heardBefore(told []time.Time, node int, at time.Time) bool {
-	return slices.ContainsFunc(told, func(t time.Time) bool { return !t.After(at.Add(-heardWithin)) && !j.restarted(node, t, at) })
+// reportedBefore reports whether a node received one of the responses at least reportDelay before the
+// time, and was neither restarted nor paused since.
+func (ck *checker) reportedBefore(responses []time.Time, node int, at time.Time) bool {
+	return slices.ContainsFunc(responses, func(t time.Time) bool { return !t.After(at.Add(-reportDelay)) && !ck.interrupted(node, t, at) })
 }
 
-// restarted reports whether a node's process ended or stood still between two moments.
-func (j *judge) restarted(node int, from, to time.Time) bool {
-	return slices.ContainsFunc(j.h.spans, func(s span) bool {
-		ends := s.what == NodeKill || s.what == NodeStop || s.what == AllKill || s.what == NodePause || s.what == MachineLate
-		return ends && (s.node == node || s.node == everyNode) && s.from.Before(to) && s.to.After(from)
+// interrupted reports whether a node's process was terminated or paused between two times.
+func (ck *checker) interrupted(node int, from, to time.Time) bool {
+	return slices.ContainsFunc(ck.history.disturbances, func(d disturbance) bool {
+		interrupts := d.kind == NodeKill || d.kind == NodeStop || d.kind == AllNodesKill || d.kind == NodePause || d.kind == SchedulingStall
+		return interrupts && (d.node == node || d.node == everyNode) && d.from.Before(to) && d.to.After(from)
 	})
 }
 
-// limitHeader is what a VM in need says.
-func limitHeader() http.Header { return http.Header{"Server-Limit": {fmt.Sprint(namedLimit)}} }
+// limitHeader returns the header by which an overloaded VM reports its limit.
+func limitHeader() http.Header { return http.Header{"Server-Limit": {fmt.Sprint(reportedLimit)}} }
 
-// restHeader is what a VM says that wants to be left alone.
-func restHeader() http.Header {
-	return http.Header{"Retry-After": {fmt.Sprint(wantedRest.Seconds())}}
+// backoffHeader returns the header by which a VM asks for backoff.
+func backoffHeader() http.Header {
+	return http.Header{"Retry-After": {fmt.Sprint(requestedBackoff.Seconds())}}
 }
--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -13,137 +13,139 @@
 )
 
 const (
-	// crashPath marks the requests that end the VM which begins to run them.
-	crashPath = "/stream/crash-"
-	// crashInterval is the time between two tries of such a request, at any node.
+	// crashPathPrefix marks the requests that crash a VM as soon as it runs them.
+	crashPathPrefix = "/stream/crash-"
+	// crashInterval is the time between two attempts of such a request, each at a random node.
 	crashInterval = 150 * time.Millisecond
-	// crashBack is how long such a VM is away.
-	crashBack = 1500 * time.Millisecond
-	// endsToKnow is how many VMs must end under a request before it counts as known, and sendsAfter
-	// how often it may reach one in all when that is known everywhere.
-	endsToKnow = 3
-	sendsAfter = 3
+	// crashDowntime is the time until a new VM replaces a crashed one.
+	crashDowntime = 1500 * time.Millisecond
+	// terminationsToQuarantine is the number of VMs that must crash under a request before nodes
+	// have to quarantine it. maxSendsAfterQuarantine is how often the request may reach a VM in
+	// total after all nodes must have learned of that.
+	terminationsToQuarantine = 3
+	maxSendsAfterQuarantine  = 3
 )
 
-// crashAgain sends a request that ends its upstreams again and again, for a while.
-func (c *callers) crashAgain(f Fault) {
-	random := rand.New(rand.NewPCG(c.w.seed, uint64(f.Target)))
+// sendCrashingRequests repeats a request that crashes its upstreams for the fault's duration.
+func (c *callers) sendCrashingRequests(f Fault) {
+	random := rand.New(rand.NewPCG(c.testbed.seed, uint64(f.Target)))
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for until := time.Now().Add(f.For); time.Now().Before(until); time.Sleep(crashInterval) {
-		n := c.w.nodes[random.IntN(len(c.w.nodes))]
-		ready, life := n.inRotation()
+		n := c.testbed.nodes[random.IntN(len(c.testbed.nodes))]
+		ready, incarnation := n.readyIncarnation()
 		if !ready {
 			continue
 		}
 		c.done.Go(func() {
-			a := call{id: fmt.Sprintf("r-%d", c.next.Add(1)), node: n.number, life: life, class: streamed, events: streamEvents, crashes: true}
-			a.key = c.w.anyKey()
-			c.sendOnce(client, n, fmt.Sprintf("%s%d", crashPath, f.Target), &a)
+			a := call{id: fmt.Sprintf("r-%d", c.next.Add(1)), node: n.number, incarnation: incarnation, class: streamRequest, events: streamEvents, crashesUpstreams: true}
+			a.key = c.testbed.validKey()
+			c.sendIgnoringResponse(client, n, fmt.Sprintf("%s%d", crashPathPrefix, f.Target), &a)
 		})
 	}
 }
 
-// sendOnce sends a request whose answer does not matter.
-func (c *callers) sendOnce(client *http.Transport, n *node, path string, a *call) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience+2*time.Second)
+// sendIgnoringResponse sends one request and records it, whatever the response.
+func (c *callers) sendIgnoringResponse(client *http.Transport, n *node, path string, a *call) {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout+2*time.Second)
 	defer cancel()
 	c.send(ctx, client, n, path, a)
-	a.ended = time.Now()
-	c.w.history.called(*a)
+	a.finished = time.Now()
+	c.testbed.history.recordCall(*a)
 }
 
-// anyKey is a key that holds.
-func (w *world) anyKey() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.keys[len(w.keys)-1]
+// validKey returns a key that was not revoked.
+func (tb *testbed) validKey() string {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.keys[len(tb.keys)-1]
 }
 
-// crashIfAsked ends a VM that begins to run a request which does that to it. It is called by the
-// VM's own handler, which it ends too.
-func (w *world) crashIfAsked(o groupengine.Observation) {
-	if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPath) {
+// crashOnRequest crashes a VM that starts to run a request marked to do so. The VM's handler calls
+// it; the panic aborts that handler.
+func (tb *testbed) crashOnRequest(o groupengine.Observation) {
+	if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPathPrefix) {
 		return
 	}
-	w.mu.Lock()
-	u := w.byID[o.VM]
-	dies := u != nil && !u.gone && !u.leaving
-	if dies {
+	tb.mu.Lock()
+	u := tb.upstreamsByID[o.VM]
+	crashes := u != nil && !u.terminated && !u.leaving
+	if crashes {
 		u.leaving = true
 	}
-	w.mu.Unlock()
-	if dies {
-		w.running.Go(func() { w.crash(u) })
+	tb.mu.Unlock()
+	if crashes {
+		tb.running.Go(func() { tb.crash(u) })
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// crash ends a VM at once; another life of it comes back after a while, and its entry lapses.
-func (w *world) crash(u *upstream) {
+// crash terminates a VM at once, adds a new VM after crashDowntime and removes the entry of the
+// crashed one after entryExpiry.
+func (tb *testbed) crash(u *upstream) {
 	from := time.Now()
-	w.end(u)
-	w.history.crashed(departure{u.id, from})
+	tb.terminate(u)
+	tb.history.recordCrash(vmEvent{u.id, from})
 	select {
-	case <-w.ended:
+	case <-tb.stopped:
 		return
-	case <-time.After(crashBack):
+	case <-time.After(crashDowntime):
 	}
-	if err := w.addUpstream(u.plain); err != nil {
-		w.fail(err)
+	if err := tb.addUpstream(u.plain); err != nil {
+		tb.recordError(err)
 	}
-	time.Sleep(max(lapseTime-crashBack, 0))
+	time.Sleep(max(entryExpiry-crashDowntime, 0))
 	u.vm.Leave()
-	w.history.disturbed(span{node: anUpstream, from: from, to: time.Now(), what: RequestCrashes})
+	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: RequestCrashesUpstreams})
 }
 
-// crashing: a request under which some VMs have ended reaches no more, but for a few, from nodes
-// that are in touch when that has been known for long enough.
-func (j *judge) crashing() {
-	ended := make(map[string]time.Time)
-	for _, d := range j.h.crashes {
-		ended[d.vm] = d.at
+// checkCrashingRequests checks that a request under which terminationsToQuarantine VMs have crashed
+// reaches at most maxSendsAfterQuarantine more from connected nodes that had time to learn of it.
+func (ck *checker) checkCrashingRequests() {
+	crashedAt := make(map[string]time.Time)
+	for _, d := range ck.history.crashes {
+		crashedAt[d.vm] = d.at
 	}
-	under := make(map[string]map[string]time.Time)
-	for _, o := range j.h.seen {
-		if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPath) || ended[o.VM].IsZero() {
+	runsByTarget := make(map[string]map[string]time.Time)
+	for _, o := range ck.history.observations {
+		if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPathPrefix) || crashedAt[o.VM].IsZero() {
 			continue
 		}
-		if under[o.Target] == nil {
-			under[o.Target] = make(map[string]time.Time)
+		if runsByTarget[o.Target] == nil {
+			runsByTarget[o.Target] = make(map[string]time.Time)
 		}
-		under[o.Target][o.VM] = o.At
+		runsByTarget[o.Target][o.VM] = o.At
 	}
-	for target, vms := range under {
-		j.stillSent(target, knownSince(vms))
+	for target, vms := range runsByTarget {
+		ck.checkSendsAfterQuarantine(target, quarantinedSince(vms))
 	}
 }
 
-// knownSince is when the last of the VMs that must end under a request began to run it; the far
-// future while too few have.
-func knownSince(vms map[string]time.Time) time.Time {
+// quarantinedSince returns when the last of the VMs that must crash under a request started to run
+// it, or a time in the future if too few have.
+func quarantinedSince(vms map[string]time.Time) time.Time {
 	var times []time.Time
 	for _, at := range vms {
 		times = append(times, at)
 	}
-	if len(times) < endsToKnow {
+	if len(times) < terminationsToQuarantine {
 		return time.Now().Add(time.Hour)
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	return times[endsToKnow-1]
+	return times[terminationsToQuarantine-1]
 }
 
-func (j *judge) stillSent(target string, known time.Time) {
+func (ck *checker) checkSendsAfterQuarantine(target string, quarantinedAt time.Time) {
 	late := 0
 	last := ""
-	for _, o := range j.h.seen {
-		c, ours := j.calls[o.Request]
-		if o.Kind == groupengine.Arrived && o.Target == target && ours && o.At.After(known.Add(contact+j.slack)) && j.inTouch(c.node, o.At) {
+	for _, o := range ck.history.observations {
+		c, known := ck.calls[o.Request]
+		if o.Kind == groupengine.Arrived && o.Target == target && known && o.At.After(quarantinedAt.Add(reconnectTime+ck.slack)) && ck.undisturbed(c.node, o.At) {
 			late++
 			last = o.Request
 		}
 	}
-	if late > sendsAfter {
-		j.report("crashing requests end", last, "%s reached upstreams %d times after three had ended under it", target, late)
+	if late > maxSendsAfterQuarantine {
+		ck.report("crashing requests end", last, "%s reached upstreams %d times after three had crashed under it", target, late)
 	}
 }
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -9,13 +9,13 @@
 	"github.com/marbleroad/marbleroad/test/standin/faultproxy"
 )
 
-// play applies a schedule; every fault runs on its own, so that they overlap. It returns when the
-// last one is over.
-func (w *world) play(faults []Fault) {
+// playSchedule applies the faults of a schedule, each in its own goroutine, so that they overlap. It
+// returns when the last one should be over.
+func (tb *testbed) playSchedule(faults []Fault) {
 	start := time.Now()
 	for _, f := range faults {
 		time.Sleep(time.Until(start.Add(f.At)))
-		w.running.Go(func() { w.apply(f) })
+		tb.running.Go(func() { tb.apply(f) })
 	}
 	var end time.Duration
 	for _, f := range faults {
@@ -24,143 +24,143 @@
 	time.Sleep(time.Until(start.Add(end)))
 }
 
-// during runs a fault between its two ends and notes the time as disturbed.
-func (w *world) during(f Fault, target int, begin, end func()) {
+// applyFor starts a fault, stops it after its duration and records the disturbance.
+func (tb *testbed) applyFor(f Fault, target int, start, stop func()) {
 	from := time.Now()
-	begin()
+	start()
 	time.Sleep(f.For)
-	end()
-	w.history.disturbed(span{node: target, from: from, to: time.Now(), what: f.Kind})
+	stop()
+	tb.history.recordDisturbance(disturbance{node: target, from: from, to: time.Now(), kind: f.Kind})
 }
 
-func (w *world) apply(f Fault) {
-	n := w.nodes[f.Target%len(w.nodes)]
-	lever := func(l *lever, m faultproxy.Mode, target int) {
-		w.during(f, target, func() { l.change(m, 1) }, func() { l.change(m, -1) })
+func (tb *testbed) apply(f Fault) {
+	n := tb.nodes[f.Target%len(tb.nodes)]
+	applyToLink := func(fl *faultLink, m faultproxy.Mode, target int) {
+		tb.applyFor(f, target, func() { fl.adjust(m, 1) }, func() { fl.adjust(m, -1) })
 	}
 	switch f.Kind {
 	case StoreDown:
-		w.during(f, everyNode, func() { w.refuseStore(1) }, func() { w.refuseStore(-1) })
-	case StoreSilent:
-		w.everyWay(f, faultproxy.Freeze)
+		tb.applyFor(f, everyNode, func() { tb.adjustStoreOutages(1) }, func() { tb.adjustStoreOutages(-1) })
+	case StoreUnresponsive:
+		tb.applyToStoreLinks(f, faultproxy.Freeze)
 	case StoreSlow:
-		w.during(f, everyNode, func() { w.delayStore(100 * time.Millisecond) }, func() { w.delayStore(0) })
+		tb.applyFor(f, everyNode, func() { tb.delayStore(100 * time.Millisecond) }, func() { tb.delayStore(0) })
 	case StoreForgets:
-		w.store.Forget()
-	case StoreLoses:
-		w.store.LoseAnswers(3)
-	case NodeCut:
-		lever(n.way, faultproxy.Freeze, n.number)
-	case NodeOneWay:
-		lever(n.way, faultproxy.LoseAnswers, n.number)
-	case NodeSilence:
-		w.during(f, n.number, n.way.proxy.Silence, func() {})
-	case LinkCut:
-		lever(n.links, faultproxy.Freeze, n.number)
-	case LinkOneWay:
-		lever(n.links, faultproxy.LoseAnswers, n.number)
-	case LinkSilence:
-		w.during(f, n.number, n.links.proxy.Silence, func() {})
-	case LinkBreak:
-		w.during(f, n.number, n.links.proxy.Break, func() {})
+		tb.store.Forget()
+	case StoreLosesResponses:
+		tb.store.LoseAnswers(3)
+	case NodePartitionedFromStore:
+		applyToLink(n.storeLink, faultproxy.Freeze, n.number)
+	case NodeOneWayFromStore:
+		applyToLink(n.storeLink, faultproxy.LoseAnswers, n.number)
+	case NodeStoreConnectionsSilent:
+		tb.applyFor(f, n.number, n.storeLink.proxy.Silence, func() {})
+	case NodePartitionedFromNodes:
+		applyToLink(n.peerLink, faultproxy.Freeze, n.number)
+	case NodeOneWayFromNodes:
+		applyToLink(n.peerLink, faultproxy.LoseAnswers, n.number)
+	case NodeLinksSilent:
+		tb.applyFor(f, n.number, n.peerLink.proxy.Silence, func() {})
+	case NodeLinksReset:
+		tb.applyFor(f, n.number, n.peerLink.proxy.Break, func() {})
 	case NodeKill:
-		w.replace(f, n, syscall.SIGKILL)
+		tb.restartNode(f, n, syscall.SIGKILL)
 	case NodeStop:
-		w.replace(f, n, syscall.SIGTERM)
+		tb.restartNode(f, n, syscall.SIGTERM)
 	case NodePause:
-		w.pause(f, n)
+		tb.pause(f, n)
 	case NodeReload:
 		n.signal(syscall.SIGHUP)
-	case AllKill:
-		for _, each := range w.nodes {
-			w.running.Go(func() { w.replace(f, each, syscall.SIGKILL) })
+	case AllNodesKill:
+		for _, each := range tb.nodes {
+			tb.running.Go(func() { tb.restartNode(f, each, syscall.SIGKILL) })
 		}
-	case CallersMany, CallersLeave:
-		w.during(f, callersOnly, func() { w.callers.lean(f.Kind, 1) }, func() { w.callers.lean(f.Kind, -1) })
-	case RequestCrashes:
-		w.callers.done.Go(func() { w.callers.crashAgain(f) })
+	case CallerSurge, CallersDisconnect:
+		tb.applyFor(f, callersOnly, func() { tb.callers.adjustLoad(f.Kind, 1) }, func() { tb.callers.adjustLoad(f.Kind, -1) })
+	case RequestCrashesUpstreams:
+		tb.callers.done.Go(func() { tb.callers.sendCrashingRequests(f) })
 	case RouteAdded:
-		w.addRoute()
+		tb.addRoute()
 	case KeyRevoked:
-		w.revoke()
+		tb.revokeKey()
 	default:
-		w.applyToUpstream(f)
+		tb.applyToUpstream(f)
 	}
 }
 
-func (w *world) refuseStore(by int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.storeAway += by
-	w.store.SetDown(w.storeAway > 0)
+func (tb *testbed) adjustStoreOutages(by int) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.storeOutages += by
+	tb.store.SetDown(tb.storeOutages > 0)
 }
 
-func (w *world) delayStore(d time.Duration) {
-	for _, n := range w.nodes {
-		n.way.proxy.SetDelay(d)
+func (tb *testbed) delayStore(d time.Duration) {
+	for _, n := range tb.nodes {
+		n.storeLink.proxy.SetDelay(d)
 	}
 }
 
-func (w *world) everyWay(f Fault, m faultproxy.Mode) {
-	change := func(by int) func() {
+func (tb *testbed) applyToStoreLinks(f Fault, m faultproxy.Mode) {
+	adjust := func(by int) func() {
 		return func() {
-			for _, n := range w.nodes {
-				n.way.change(m, by)
+			for _, n := range tb.nodes {
+				n.storeLink.adjust(m, by)
 			}
 		}
 	}
-	w.during(f, everyNode, change(1), change(-1))
+	tb.applyFor(f, everyNode, adjust(1), adjust(-1))
 }
 
-// claim has one fault at a time end or pause a node's process.
+// claim reports whether the caller may stop or pause the node's process: one fault at a time may.
 func (n *node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.busy {
+	if n.claimed {
 		return false
 	}
-	n.busy = true
+	n.claimed = true
 	return true
 }
 
 func (n *node) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.busy = false
+	n.claimed = false
 }
 
-// replace ends a node's process and starts a new one after a while.
-func (w *world) replace(f Fault, n *node, s syscall.Signal) {
+// restartNode stops a node's process and starts a new one after the fault's duration.
+func (tb *testbed) restartNode(f Fault, n *node, s syscall.Signal) {
 	if !n.claim() {
 		return
 	}
 	defer n.release()
 	from := time.Now()
-	w.endProcess(n, s)
+	tb.stopProcess(n, s)
 	select {
-	case <-w.ended:
+	case <-tb.stopped:
 		return
 	case <-time.After(f.For):
 	}
-	if err := w.start(n); err != nil {
-		w.fail(err)
+	if err := tb.start(n); err != nil {
+		tb.recordError(err)
 	}
-	w.history.disturbed(span{node: n.number, from: from, to: time.Now(), what: f.Kind})
+	tb.history.recordDisturbance(disturbance{node: n.number, from: from, to: time.Now(), kind: f.Kind})
 }
 
-// signalInterval is the time between two more signals to a node that is stopping.
+// signalInterval is the time between repeated signals to a node that is stopping.
 const signalInterval = 250 * time.Millisecond
 
-// endProcess signals a node's process and waits for its end. Signals to stop come in series, with
-// such to reload between them.
-func (w *world) endProcess(n *node, s syscall.Signal) {
-	gone := n.signal(s)
+// stopProcess signals a node's process and waits until it has exited. A graceful stop is repeated, with
+// reload signals in between; after stopGrace the process is killed.
+func (tb *testbed) stopProcess(n *node, s syscall.Signal) {
+	exited := n.signal(s)
 	grace := time.After(stopGrace)
 	ticker := time.NewTicker(signalInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-gone:
+		case <-exited:
 			return
 		case <-ticker.C:
 			if s == syscall.SIGTERM {
@@ -169,95 +169,95 @@
 			}
 		case <-grace:
 			n.signal(syscall.SIGKILL)
-			<-gone
+			<-exited
 			return
 		}
 	}
 }
 
-func (w *world) pause(f Fault, n *node) {
+func (tb *testbed) pause(f Fault, n *node) {
 	if !n.claim() {
 		return
 	}
 	defer n.release()
-	w.during(f, n.number, func() { n.signal(syscall.SIGSTOP) }, func() { n.signal(syscall.SIGCONT) })
+	tb.applyFor(f, n.number, func() { n.signal(syscall.SIGSTOP) }, func() { n.signal(syscall.SIGCONT) })
 }
 
-func (w *world) addRoute() {
-	w.mu.Lock()
-	w.routes = append(w.routes, w.version+1)
-	w.mu.Unlock()
-	w.putConfiguration("")
+func (tb *testbed) addRoute() {
+	tb.mu.Lock()
+	tb.routes = append(tb.routes, tb.version+1)
+	tb.mu.Unlock()
+	tb.putConfiguration("")
 }
 
-// revoke takes a key away, but leaves some.
-func (w *world) revoke() {
-	const least = 3
-	w.mu.Lock()
-	if len(w.keys) <= least {
-		w.mu.Unlock()
+// revokeKey revokes the oldest key unless only minKeys are left.
+func (tb *testbed) revokeKey() {
+	const minKeys = 3
+	tb.mu.Lock()
+	if len(tb.keys) <= minKeys {
+		tb.mu.Unlock()
 		return
 	}
-	key := w.keys[0]
-	w.keys = slices.Clone(w.keys[1:])
-	w.revoked = append(w.revoked, key)
-	w.mu.Unlock()
-	w.putConfiguration(key)
+	key := tb.keys[0]
+	tb.keys = slices.Clone(tb.keys[1:])
+	tb.revoked = append(tb.revoked, key)
+	tb.mu.Unlock()
+	tb.putConfiguration(key)
 }
 
-func (w *world) applyToUpstream(f Fault) {
-	live := w.live()
-	u := live[f.Target%len(live)]
-	switch plain := plainOf(live); {
+func (tb *testbed) applyToUpstream(f Fault) {
+	candidates := tb.liveUpstreams()
+	u := candidates[f.Target%len(candidates)]
+	switch plain := plainUpstreams(candidates); {
 	case len(plain) == 0:
-	case f.Kind == PlainCut:
+	case f.Kind == PlainUpstreamPartitioned:
 		u = plain[0]
-	case f.Kind == PlainDrains:
+	case f.Kind == PlainUpstreamDrains:
 		u = plain[len(plain)-1]
 	}
-	on := func(begin, end func()) { w.during(f, anUpstream, begin, end) }
+	applyToVM := func(start, stop func()) { tb.applyFor(f, anUpstream, start, stop) }
 	switch f.Kind {
-	case UpstreamDies:
-		w.retire(u, f, func() { w.end(u); time.Sleep(lapseTime); u.vm.Leave() })
-	case UpstreamDrains, PlainDrains:
-		w.retire(u, f, func() {
+	case UpstreamCrashes:
+		tb.replaceUpstream(u, f, func() { tb.terminate(u); time.Sleep(entryExpiry); u.vm.Leave() })
+	case UpstreamDrains, PlainUpstreamDrains:
+		tb.replaceUpstream(u, f, func() {
 			u.vm.Drain()
-			w.history.departed(u.id)
+			tb.history.recordDeparture(u.id)
 			time.Sleep(f.For)
 			u.vm.Leave()
-			w.end(u)
+			tb.terminate(u)
 		})
 	case UpstreamLeaves:
-		w.retire(u, f, func() { u.vm.Leave(); w.history.departed(u.id); time.Sleep(f.For); w.end(u) })
-	case UpstreamCut, PlainCut:
-		on(func() { u.way.change(faultproxy.Freeze, 1) }, func() { u.way.change(faultproxy.Freeze, -1) })
-	case UpstreamReset:
-		on(u.way.proxy.Break, func() {})
-	case UpstreamSilence:
-		on(u.way.proxy.Silence, func() {})
+		tb.replaceUpstream(u, f, func() { u.vm.Leave(); tb.history.recordDeparture(u.id); time.Sleep(f.For); tb.terminate(u) })
+	case UpstreamPartitioned, PlainUpstreamPartitioned:
+		applyToVM(func() { u.link.adjust(faultproxy.Freeze, 1) }, func() { u.link.adjust(faultproxy.Freeze, -1) })
+	case UpstreamConnectionsReset:
+		applyToVM(u.link.proxy.Break, func() {})
+	case UpstreamConnectionsSilent:
+		applyToVM(u.link.proxy.Silence, func() {})
 	case UpstreamStalls:
-		on(func() { u.vm.Stall.Store(3) }, func() { u.vm.Stall.Store(0) })
+		applyToVM(func() { u.vm.Stall.Store(3) }, func() { u.vm.Stall.Store(0) })
 	case UpstreamRefuses:
-		on(func() { u.vm.Refuse.Store(true) }, func() { u.vm.Refuse.Store(false) })
-	case AllRefuse:
-		w.during(f, anUpstream, func() { refuse(live, true) }, func() { refuse(live, false) })
-	case UpstreamCuts:
-		on(func() { u.vm.CutAfter.Store(3) }, func() { u.vm.CutAfter.Store(0) })
-	case UpstreamLimits:
-		w.says(f, serving(live, f.Target), limitHeader(), false)
-	case UpstreamRests:
-		w.says(f, serving(live, f.Target), restHeader(), true)
-	case UpstreamSays:
-		w.saysItLeaves(f, serving(live, f.Target))
-	case UpstreamForeign:
-		on(func() { u.vm.ForeignID.Store(true) }, func() { u.vm.ForeignID.Store(false) })
+		applyToVM(func() { u.vm.Refuse.Store(true) }, func() { u.vm.Refuse.Store(false) })
+	case AllUpstreamsRefuse:
+		tb.applyFor(f, anUpstream, func() { setRefuse(candidates, true) }, func() { setRefuse(candidates, false) })
+	case UpstreamTruncatesStreams:
+		applyToVM(func() { u.vm.CutAfter.Store(3) }, func() { u.vm.CutAfter.Store(0) })
+	case UpstreamReportsLimit:
+		tb.reportCondition(f, pickServing(candidates, f.Target), limitHeader(), false)
+	case UpstreamRequestsBackoff:
+		tb.reportCondition(f, pickServing(candidates, f.Target), backoffHeader(), true)
+	case UpstreamReportsLeaving:
+		tb.reportLeaving(f, pickServing(candidates, f.Target))
+	case UpstreamMisdirectsResponses:
+		applyToVM(func() { u.vm.ForeignID.Store(true) }, func() { u.vm.ForeignID.Store(false) })
 	default:
-		w.fail(fmt.Errorf("nothing does %s", f.Kind))
+		tb.recordError(fmt.Errorf("unknown kind of fault %q", f.Kind))
 	}
 }
 
-// plainOf lists the VMs of the plain service, the oldest first.
-func plainOf(live []*upstream) []*upstream {
+// plainUpstreams returns the VMs of the plain service, the oldest first.
+func plainUpstreams(live []*upstream) []*upstream {
 	var out []*upstream
 	for _, u := range live {
 		if u.plain {
@@ -267,35 +267,35 @@
 	return out
 }
 
-func refuse(all []*upstream, on bool) {
+func setRefuse(all []*upstream, on bool) {
 	for _, u := range all {
 		u.vm.Refuse.Store(on)
 	}
 }
 
-// retire has a VM go in some way while another one takes its place.
-func (w *world) retire(u *upstream, f Fault, leave func()) {
-	w.mu.Lock()
+// replaceUpstream adds a new VM and then makes the old one leave in the given way.
+func (tb *testbed) replaceUpstream(u *upstream, f Fault, leave func()) {
+	tb.mu.Lock()
 	leaving := u.leaving
 	u.leaving = true
-	w.mu.Unlock()
+	tb.mu.Unlock()
 	if leaving {
 		return
 	}
 	from := time.Now()
-	if err := w.addUpstream(u.plain); err != nil {
-		w.fail(err)
+	if err := tb.addUpstream(u.plain); err != nil {
+		tb.recordError(err)
 	}
 	leave()
-	w.history.disturbed(span{node: everyNode - 1, from: from, to: time.Now(), what: f.Kind})
+	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: f.Kind})
 }
 
-// end has a VM fall silent for good.
-func (w *world) end(u *upstream) {
-	w.mu.Lock()
-	u.gone = true
-	w.mu.Unlock()
-	w.history.endedVM(u.id)
+// terminate closes a VM's server and proxy for good.
+func (tb *testbed) terminate(u *upstream) {
+	tb.mu.Lock()
+	u.terminated = true
+	tb.mu.Unlock()
+	tb.history.recordTermination(u.id)
 	_ = u.server.Close()
-	u.way.proxy.Close()
+	u.link.proxy.Close()
 }
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -7,142 +7,143 @@
 	"github.com/marbleroad/marbleroad/test/standin/groupengine"
 )
 
-// class is how the callers' requests differ, one to a route.
+// class is a class of requests; each has a route of its own.
 type class uint8
 
 const (
-	streamed class = iota
-	read
-	written
-	// probed asks for a route that was added later.
-	probed
+	streamRequest class = iota
+	idempotentRead
+	nonIdempotentWrite
+	// routeProbe requests a route that was added during the run.
+	routeProbe
 )
 
 func (c class) String() string { return [...]string{"stream", "read", "write", "probe"}[c] }
 
-// call is one request as its caller saw it.
+// call is one request as its caller observed it.
 type call struct {
 	id    string
 	class class
 	key   string
 	node  int
-	// life is the node's process that took it.
-	life int
-	// version is the configuration that a probe asks for.
-	version int
-	sent    time.Time
-	ended   time.Time
-	// status is zero without an answer; broken says what was wrong with one.
-	status int
-	broken string
-	// left is when the caller gave up on purpose; zero when it did not.
-	left time.Time
-	// whole is true when the answer was complete.
-	whole bool
-	// events is how many events the stream has.
+	// incarnation is the node's process that the request was sent to.
+	incarnation int
+	// version is the version of the configuration that added the route of a routeProbe.
+	version  int
+	sent     time.Time
+	finished time.Time
+	// status is zero without a response. problem says what was wrong with a response, or is empty.
+	status  int
+	problem string
+	// disconnectedAt is when the caller disconnected on purpose; zero when it did not.
+	disconnectedAt time.Time
+	// complete is true when the entire response was received.
+	complete bool
+	// events is the number of events that the stream has to have.
 	events int
-	// crashes is true when the request ends the upstreams that run it.
-	crashes bool
+	// crashesUpstreams is true when the request crashes the upstreams that run it.
+	crashesUpstreams bool
 }
 
-// bodyOf is what the body of a request names: a request that ends upstreams is the same each time.
-func (c call) bodyOf() string {
-	if c.crashes {
-		return crashPath
+// bodyName returns what the body of a request contains. All requests that crash upstreams have the
+// same body, so that nodes see them as the same request.
+func (c call) bodyName() string {
+	if c.crashesUpstreams {
+		return crashPathPrefix
 	}
 	return c.id
 }
 
-// span is a time in which something was disturbed.
-type span struct {
-	// node is the one concerned; everyNode for all.
+// disturbance is a period in which a fault or a planned operation was active.
+type disturbance struct {
+	// node is the number of the affected node, or one of the constants below.
 	node     int
 	from, to time.Time
-	what     Kind
+	kind     Kind
 }
 
-// What spans name in place of a node: all of them, an upstream, or callers.
+// Values of disturbance.node for all nodes, an upstream, or callers.
 const (
 	everyNode   = -1
 	anUpstream  = -2
 	callersOnly = -3
 )
 
-// departure is a VM's leaving, as the store acknowledged it.
-type departure struct {
+// vmEvent is a leave, termination or crash of a VM.
+type vmEvent struct {
 	vm string
 	at time.Time
 }
 
-// accepted is a version of the configuration that the store has taken.
-type accepted struct {
+// acceptedVersion is a version of the configuration that the store accepted.
+type acceptedVersion struct {
 	version int
 	at      time.Time
-	// revoked is the key that it no longer has; empty for none.
-	revoked string
+	// revokedKey is the key that the version removes; empty for none.
+	revokedKey string
 }
 
-// history is all that callers, upstreams and operators saw. It is safe for concurrent use.
+// history holds what callers, upstreams and operators observed. It is safe for concurrent use.
 type history struct {
-	mu         sync.Mutex
-	calls      []call
-	seen       []groupengine.Observation
-	spans      []span
-	departures []departure
-	// ends are the ends of VMs, crashes those by a request.
-	ends     []departure
-	crashes  []departure
-	versions []accepted
-	// taken are joins of VMs whose old head was open.
-	taken []groupengine.Observation
-	// needs are what VMs said of their own condition.
-	needs []need
+	mu           sync.Mutex
+	calls        []call
+	observations []groupengine.Observation
+	disturbances []disturbance
+	departures   []vmEvent
+	// terminations holds all terminations of VMs, crashes those caused by a request.
+	terminations []vmEvent
+	crashes      []vmEvent
+	versions     []acceptedVersion
+	// joinsFromOpenGroups holds the joins of VMs whose old group still had an open head.
+	joinsFromOpenGroups []groupengine.Observation
+	// conditions holds what VMs reported about themselves.
+	conditions []reportedCondition
 }
 
-func (h *history) observe(o groupengine.Observation) {
+func (h *history) recordObservation(o groupengine.Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.seen = append(h.seen, o)
+	h.observations = append(h.observations, o)
 }
 
-func (h *history) called(c call) {
+func (h *history) recordCall(c call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, c)
 }
 
-func (h *history) disturbed(s span) {
+func (h *history) recordDisturbance(d disturbance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.spans = append(h.spans, s)
+	h.disturbances = append(h.disturbances, d)
 }
 
-func (h *history) departed(vm string) {
+func (h *history) recordDeparture(vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.departures = append(h.departures, departure{vm, time.Now()})
+	h.departures = append(h.departures, vmEvent{vm, time.Now()})
 }
 
-func (h *history) endedVM(vm string) {
+func (h *history) recordTermination(vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ends = append(h.ends, departure{vm, time.Now()})
+	h.terminations = append(h.terminations, vmEvent{vm, time.Now()})
 }
 
-func (h *history) crashed(d departure) {
+func (h *history) recordCrash(d vmEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.crashes = append(h.crashes, d)
 }
 
-func (h *history) changed(a accepted) {
+func (h *history) recordVersion(a acceptedVersion) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.versions = append(h.versions, a)
 }
 
-func (h *history) took(o groupengine.Observation) {
+func (h *history) recordJoinFromOpenGroup(o groupengine.Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.taken = append(h.taken, o)
+	h.joinsFromOpenGroups = append(h.joinsFromOpenGroups, o)
 }
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak runs the real marbleroad-node as separate processes beside small stand-ins,
-// disturbs them from outside by a schedule that a seed draws, and checks the promises from
-// what callers, upstreams and operators saw. docs/SOAK.md explains it.
+// Command soak runs marbleroad-node as separate processes against stand-ins for the platform's
+// object store and the VMs, injects faults by a schedule drawn from a seed, and checks the
+// system's guarantees from what callers, upstreams and operators observed. See docs/SOAK.md.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 )
 
-// config is what one run is made of.
+// config describes one run.
 type config struct {
 	binary         string
 	seed           uint64
@@ -26,7 +26,7 @@
 	length, slack  time.Duration
 }
 
-// options are the command's own.
+// options holds the flags of the command.
 type options struct {
 	config
 	seeds    int
@@ -34,7 +34,7 @@
 	schedule string
 	shrink   bool
 	keep     string
-	// planned draws planned work and pauses of nodes only.
+	// planned restricts the drawn faults to planned operations and short pauses of nodes.
 	planned bool
 }
 
@@ -48,7 +48,7 @@
 	var o options
 	c := &cobra.Command{
 		Use:           "soak --binary bin/marbleroad-node",
-		Short:         "Run marbleroad-node under random faults and check its promises",
+		Short:         "Run marbleroad-node under random faults and check its guarantees",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: false,
@@ -58,39 +58,39 @@
 	f.StringVar(&o.binary, "binary", "bin/marbleroad-node", "the program under test")
 	f.Uint64Var(&o.seed, "seed", 1, "first seed")
 	f.IntVar(&o.seeds, "seeds", 1, "how many seeds to run, one after the other")
-	f.Float64Var(&o.minutes, "minutes", 0, "begin no further seed after that many minutes; 0 for no bound")
-	f.IntVar(&o.nodes, "nodes", 3, "nodes, a process each")
-	f.IntVar(&o.engines, "engines", 8, "model engines")
-	f.IntVar(&o.plain, "plain", 3, "upstreams of the plain service")
-	f.IntVar(&o.callers, "callers", 30, "callers")
-	f.DurationVar(&o.length, "length", 12*time.Second, "time in which faults are drawn; a calm part of 17 s follows")
-	f.DurationVar(&o.slack, "slack", 500*time.Millisecond, "added to each bound on time, for a busy machine")
-	f.StringVar(&o.schedule, "schedule", "", "file with the faults to play in place of drawn ones")
-	f.BoolVar(&o.planned, "planned", false, "draw planned work in series that overlap, and short pauses of nodes, only")
-	f.BoolVar(&o.shrink, "shrink", false, "look for the shortest schedule that still fails")
-	f.StringVar(&o.keep, "keep", "out/soak", "folder for the schedules and logs of failed seeds")
+	f.Float64Var(&o.minutes, "minutes", 0, "start no further seed after this many minutes; 0 for no limit")
+	f.IntVar(&o.nodes, "nodes", 3, "number of nodes, each a process of its own")
+	f.IntVar(&o.engines, "engines", 8, "number of VMs that run models")
+	f.IntVar(&o.plain, "plain", 3, "number of VMs of the plain service")
+	f.IntVar(&o.callers, "callers", 30, "number of concurrent callers")
+	f.DurationVar(&o.length, "length", 12*time.Second, "period in which faults are drawn; a fixed series of faults follows it")
+	f.DurationVar(&o.slack, "slack", 500*time.Millisecond, "tolerance added to each time limit that is checked, for a busy machine")
+	f.StringVar(&o.schedule, "schedule", "", "file with the faults to inject instead of drawn ones")
+	f.BoolVar(&o.planned, "planned", false, "draw only planned operations, in overlapping series, and short pauses of nodes")
+	f.BoolVar(&o.shrink, "shrink", false, "after a failure, search for a shorter schedule that still fails")
+	f.StringVar(&o.keep, "keep", "out/soak", "directory for the schedules and logs of failed seeds")
 	return c
 }
 
-// calmAfter is how long callers go on after the last fault.
-const calmAfter = 3 * time.Second
+// cooldown is how long callers continue after the last fault.
+const cooldown = 3 * time.Second
 
-var errBroken = errors.New("a promise was broken")
+var errChecksFailed = errors.New("checks failed")
 
 func (o *options) run() error {
-	began := time.Now()
+	started := time.Now()
 	failed := 0
 	for i := range o.seeds {
-		if o.minutes > 0 && time.Since(began).Minutes() > o.minutes {
+		if o.minutes > 0 && time.Since(started).Minutes() > o.minutes {
 			break
 		}
 		c := o.config
 		c.seed += uint64(i)
-		faults, err := o.faults(c)
+		faults, err := o.faultSchedule(c)
 		if err != nil {
 			return err
 		}
-		ok, err := o.playSeed(c, faults)
+		ok, err := o.runSeed(c, faults)
 		if err != nil {
 			return err
 		}
@@ -99,18 +99,19 @@
 		}
 	}
 	if failed > 0 {
-		return errors.Wrapf(errBroken, "%d seeds failed", failed)
+		return errors.Wrapf(errChecksFailed, "%d seeds failed", failed)
 	}
 	return nil
 }
 
-// faults are those of the schedule, else those that the seed draws.
-func (o *options) faults(c config) ([]Fault, error) {
+// faultSchedule returns the faults of the schedule file, or draws them from the seed if no file
+// is given.
+func (o *options) faultSchedule(c config) ([]Fault, error) {
 	if o.schedule == "" && o.planned {
-		return drawPlanned(rand.New(rand.NewPCG(c.seed, 0)), c.length), nil
+		return drawPlannedSchedule(rand.New(rand.NewPCG(c.seed, 0)), c.length), nil
 	}
 	if o.schedule == "" {
-		return draw(rand.New(rand.NewPCG(c.seed, 0)), c.length), nil
+		return drawSchedule(rand.New(rand.NewPCG(c.seed, 0)), c.length), nil
 	}
 	file, err := os.Open(o.schedule)
 	if err != nil {
@@ -121,46 +122,48 @@
 	return faults, errors.Wrapf(err, "read %s", o.schedule)
 }
 
-// playSeed runs one seed, and reports and keeps a failure.
-func (o *options) playSeed(c config, faults []Fault) (bool, error) {
+// runSeed runs one seed, prints its result and keeps the schedule and logs of a failure. It
+// reports whether all checks passed.
+func (o *options) runSeed(c config, faults []Fault) (bool, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return false, errors.Wrap(err, "make folder")
+		return false, errors.Wrap(err, "create work directory")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	r, err := runOnce(c, faults, dir)
 	if err != nil {
 		return false, err
 	}
-	fmt.Printf("seed %d: %d faults, %d requests, %d answered whole, %d arrivals, the machine was late %d times; %d violations\n", c.seed, len(faults), r.requests, r.whole, r.arrivals, r.late, len(r.found))
-	if len(r.found) == 0 {
+	fmt.Printf("seed %d: %d faults, %d requests, %d answered completely, %d arrivals at upstreams, %d scheduling stalls of the machine; %d violations\n", c.seed, len(faults), r.requests, r.complete, r.arrivals, r.stalls, len(r.violations))
+	if len(r.violations) == 0 {
 		return true, nil
 	}
-	for i, v := range r.found {
-		const shown = 12
-		if i == shown {
-			fmt.Printf("  and %d more\n", len(r.found)-shown)
+	for i, v := range r.violations {
+		const maxPrinted = 12
+		if i == maxPrinted {
+			fmt.Printf("  and %d more\n", len(r.violations)-maxPrinted)
 			break
 		}
 		fmt.Printf("  %s\n", v)
 	}
 	if o.shrink {
-		faults = shrink(c, faults, r.found[0].check, dir)
+		faults = shrink(c, faults, r.violations[0].check, dir)
 	}
-	return false, o.keepFailure(c, faults, r.found, dir)
+	return false, o.keepFailure(c, faults, r.violations, dir)
 }
 
-// keepFailure writes the schedule and the logs where they stay, and says how to play it again.
+// keepFailure copies the schedule and the nodes' logs to the --keep directory and prints the
+// command that repeats the run.
 func (o *options) keepFailure(c config, faults []Fault, found []violation, dir string) error {
-	into := filepath.Join(o.keep, fmt.Sprintf("seed-%d", c.seed))
-	if err := os.MkdirAll(into, 0o755); err != nil {
+	destination := filepath.Join(o.keep, fmt.Sprintf("seed-%d", c.seed))
+	if err := os.MkdirAll(destination, 0o755); err != nil {
 		return errors.Wrap(err, "keep failure")
 	}
 	text := ""
 	for _, f := range faults {
 		text += f.String() + "\n"
 	}
-	if err := os.WriteFile(filepath.Join(into, "schedule"), []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(destination, "schedule"), []byte(text), 0o644); err != nil {
 		return errors.Wrap(err, "keep schedule")
 	}
 	for i := range c.nodes {
@@ -168,25 +171,25 @@
 		if err != nil {
 			return errors.Wrap(err, "keep log")
 		}
-		if err := os.WriteFile(filepath.Join(into, fmt.Sprintf("node-%d.log", i)), data, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(destination, fmt.Sprintf("node-%d.log", i)), data, 0o644); err != nil {
 			return errors.Wrap(err, "keep log")
 		}
 	}
-	printLines(into, c.nodes, found)
-	fmt.Printf("  again: soak --seed %d --nodes %d --engines %d --plain %d --callers %d --schedule %s\n", c.seed, c.nodes, c.engines, c.plain, c.callers, filepath.Join(into, "schedule"))
+	printNodeLogs(destination, c.nodes, found)
+	fmt.Printf("  repeat with: soak --seed %d --nodes %d --engines %d --plain %d --callers %d --schedule %s\n", c.seed, c.nodes, c.engines, c.plain, c.callers, filepath.Join(destination, "schedule"))
 	return nil
 }
 
-// endWithSignal has the nodes end with the soak when that is told to end; the function that it returns
-// ends this.
-func endWithSignal(w *world) func() {
+// killNodesOnSignal kills the nodes and exits when the soak receives a signal to stop. The returned
+// function removes the handler.
+func killNodesOnSignal(tb *testbed) func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	done := make(chan struct{})
 	go func() {
 		select {
 		case <-signals:
-			w.killNodes()
+			tb.killNodes()
 			os.Exit(1)
 		case <-done:
 		}
@@ -197,44 +200,45 @@
 	}
 }
 
-// result is what one run came to.
+// result summarizes one run.
 type result struct {
-	found                     []violation
-	requests, whole, arrivals int
-	// late is how often the machine let the soak wait.
-	late int
+	violations                   []violation
+	requests, complete, arrivals int
+	// stalls counts the times that the soak process was not scheduled.
+	stalls int
 }
 
-// runOnce brings a site up, plays the faults while callers send, and judges.
+// runOnce starts a testbed, injects the faults while callers send requests, and checks what was
+// observed.
 func runOnce(c config, faults []Fault, dir string) (result, error) {
-	w, err := newWorld(c, dir)
+	tb, err := newTestbed(c, dir)
 	if err != nil {
-		w.stop()
+		tb.stop()
 		return result{}, errors.Wrapf(err, "seed %d", c.seed)
 	}
-	defer endWithSignal(w)()
+	defer killNodesOnSignal(tb)()
 	ctx, cancel := context.WithCancel(context.Background())
-	w.callers.run(ctx, c.callers)
-	w.play(faults)
-	time.Sleep(calmAfter)
+	tb.callers.run(ctx, c.callers)
+	tb.playSchedule(faults)
+	time.Sleep(cooldown)
 	cancel()
-	w.callers.done.Wait()
-	w.stop()
-	if w.failure != nil {
-		return result{}, errors.Wrapf(w.failure, "seed %d", c.seed)
-	}
-	r := result{found: check(w.history, c.slack), requests: len(w.history.calls)}
-	for _, call := range w.history.calls {
-		if call.whole && call.status == 200 {
-			r.whole++
+	tb.callers.done.Wait()
+	tb.stop()
+	if tb.err != nil {
+		return result{}, errors.Wrapf(tb.err, "seed %d", c.seed)
+	}
+	r := result{violations: checkHistory(tb.history, c.slack), requests: len(tb.history.calls)}
+	for _, call := range tb.history.calls {
+		if call.complete && call.status == 200 {
+			r.complete++
 		}
 	}
-	for _, s := range w.history.spans {
-		if s.what == MachineLate {
-			r.late++
+	for _, d := range tb.history.disturbances {
+		if d.kind == SchedulingStall {
+			r.stalls++
 		}
 	}
-	for _, o := range w.history.seen {
+	for _, o := range tb.history.observations {
 		if o.Request != "" && o.Kind == 0 {
 			r.arrivals++
 		}
--- a/test/soak/nodes.go
+++ b/test/soak/nodes.go
@@ -15,33 +15,33 @@
 	"github.com/marbleroad/marbleroad/test/standin/faultproxy"
 )
 
-// node is one node's process, its way to the store, and the other nodes' way to it.
+// node is one node's process with its link to the store and the link by which other nodes reach it.
 type node struct {
-	number   int
-	settings string
-	way      *lever
-	links    *lever
+	number    int
+	settings  string
+	storeLink *faultLink
+	peerLink  *faultLink
 
 	mu sync.Mutex
-	// cmd is nil while the node is down; life counts the starts.
-	cmd   *exec.Cmd
-	gone  chan struct{}
-	life  int
-	busy  bool
-	ready bool
+	// cmd is nil until the first start; incarnation counts the starts.
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	incarnation int
+	claimed     bool
+	ready       bool
 }
 
-func (w *world) addNode(number int) error {
-	proxy, err := faultproxy.New(w.addr(roleStoreProxy, number, storePort), w.addr(roleStore, 0, storePort))
+func (tb *testbed) addNode(number int) error {
+	storeProxy, err := faultproxy.New(tb.addr(roleStoreProxy, number, storePort), tb.addr(roleStore, 0, storePort))
 	if err != nil {
-		return errors.Wrap(err, "proxy of the store")
+		return errors.Wrap(err, "start proxy of the store")
 	}
-	links, err := faultproxy.New(w.addr(roleNodeProxy, number, clusterPort), w.addr(roleNode, number, clusterPort))
+	peerProxy, err := faultproxy.New(tb.addr(roleNodeProxy, number, clusterPort), tb.addr(roleNode, number, clusterPort))
 	if err != nil {
-		return errors.Wrap(err, "proxy between nodes")
+		return errors.Wrap(err, "start proxy between nodes")
 	}
-	n := &node{number: number, settings: filepath.Join(w.dir, fmt.Sprintf("node-%d.ini", number)),
-		way: &lever{proxy: proxy, on: make(map[faultproxy.Mode]int)}, links: &lever{proxy: links, on: make(map[faultproxy.Mode]int)}}
+	n := &node{number: number, settings: filepath.Join(tb.dir, fmt.Sprintf("node-%d.ini", number)),
+		storeLink: &faultLink{proxy: storeProxy, active: make(map[faultproxy.Mode]int)}, peerLink: &faultLink{proxy: peerProxy, active: make(map[faultproxy.Mode]int)}}
 	text := fmt.Sprintf(`[node]
 id = node-%d
 failure_domain = %s
@@ -62,60 +62,61 @@
 [cluster]
 listen = %s
 advertise = %s
-`, number, w.domain(number), proxy.Address(), w.addr(roleNode, number, listenPort), w.addr(roleNode, number, readyPort),
-		w.addr(roleNode, number, adminPort), stopGrace, revokeBound, repeatRatio, repeatExtra, repeatWindow, stallBound,
-		w.addr(roleNode, number, clusterPort), links.Address())
+`, number, tb.failureDomain(number), storeProxy.Address(), tb.addr(roleNode, number, listenPort), tb.addr(roleNode, number, readyPort),
+		tb.addr(roleNode, number, adminPort), stopGrace, revokeBound, repeatRatio, repeatExtra, repeatWindow, stallBound,
+		tb.addr(roleNode, number, clusterPort), peerProxy.Address())
 	if err := os.WriteFile(n.settings, []byte(text), 0o600); err != nil {
 		return errors.Wrap(err, "write settings")
 	}
-	w.nodes = append(w.nodes, n)
-	w.running.Go(func() { w.watchReadiness(n) })
-	return w.start(n)
+	tb.nodes = append(tb.nodes, n)
+	tb.running.Go(func() { tb.watchReadiness(n) })
+	return tb.start(n)
 }
 
-// start begins a new life of a node.
-func (w *world) start(n *node) error {
+// start starts a new incarnation of the node.
+func (tb *testbed) start(n *node) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	log, err := os.OpenFile(w.logOf(n.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(tb.logPath(n.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "open log")
 	}
-	cmd := exec.Command(w.binary, "run", n.settings)
+	cmd := exec.Command(tb.binary, "run", n.settings)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "start node")
 	}
-	gone := make(chan struct{})
-	n.cmd, n.gone = cmd, gone
-	n.life++
+	exited := make(chan struct{})
+	n.cmd, n.exited = cmd, exited
+	n.incarnation++
 	go func() {
 		_ = cmd.Wait()
 		_ = log.Close()
-		close(gone)
+		close(exited)
 	}()
 	return nil
 }
 
-func (w *world) logOf(number int) string {
-	return filepath.Join(w.dir, fmt.Sprintf("node-%d.log", number))
+func (tb *testbed) logPath(number int) string {
+	return filepath.Join(tb.dir, fmt.Sprintf("node-%d.log", number))
 }
 
-// signal sends a signal to a node's process and returns what is closed at its end.
+// signal sends a signal to the node's process and returns a channel that is closed when the
+// process has exited.
 func (n *node) signal(s syscall.Signal) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.cmd.Process.Signal(s)
-	return n.gone
+	return n.exited
 }
 
-// watchReadiness asks as the balancer does, only more often.
-func (w *world) watchReadiness(n *node) {
+// watchReadiness polls a node's readiness as the load balancer does, but more often.
+func (tb *testbed) watchReadiness(n *node) {
 	client := &http.Client{Timeout: time.Second}
 	ticker := time.NewTicker(300 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		resp, err := client.Get("http://" + w.addr(roleNode, n.number, readyPort) + "/-/ready")
+		resp, err := client.Get("http://" + tb.addr(roleNode, n.number, readyPort) + "/-/ready")
 		ok := err == nil && resp.StatusCode == http.StatusOK
 		if err == nil {
 			_ = resp.Body.Close()
@@ -124,31 +125,31 @@
 		n.ready = ok
 		n.mu.Unlock()
 		select {
-		case <-w.ended:
+		case <-tb.stopped:
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// inRotation reports whether callers are sent to the node, and its life.
-func (n *node) inRotation() (bool, int) {
+// readyIncarnation reports whether callers are sent to the node, and its incarnation.
+func (n *node) readyIncarnation() (bool, int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ready, n.life
+	return n.ready, n.incarnation
 }
 
-// killNodes ends the nodes' processes.
-func (w *world) killNodes() {
-	for _, n := range w.nodes {
+// killNodes kills the nodes' processes and waits until they have exited.
+func (tb *testbed) killNodes() {
+	for _, n := range tb.nodes {
 		n.mu.Lock()
-		cmd, gone := n.cmd, n.gone
+		cmd, exited := n.cmd, n.exited
 		n.mu.Unlock()
 		if cmd == nil {
 			continue
 		}
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
-		<-gone
+		<-exited
 	}
 }
--- a/test/soak/schedule.go
+++ b/test/soak/schedule.go
@@ -12,221 +12,223 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is one way in which something goes wrong, or is changed on purpose.
+// Kind is a kind of fault, or of planned operation, that a schedule can hold.
 type Kind string
 
-// The kinds. Those of nodes and upstreams name their target by its number.
+// The kinds of faults. Those of nodes and upstreams have the number of a node or an upstream as
+// their target.
 const (
-	StoreDown       Kind = "store-down"
-	StoreSilent     Kind = "store-silent"
-	StoreSlow       Kind = "store-slow"
-	StoreForgets    Kind = "store-forgets"
-	StoreLoses      Kind = "store-loses-answers"
-	NodeCut         Kind = "node-cut-from-store"
-	NodeOneWay      Kind = "node-hears-nothing-of-store"
-	NodeSilence     Kind = "node-connections-silent"
-	LinkCut         Kind = "node-cut-from-nodes"
-	LinkOneWay      Kind = "node-answers-no-nodes"
-	LinkSilence     Kind = "node-links-silent"
-	LinkBreak       Kind = "node-links-reset"
-	NodeKill        Kind = "node-kill"
-	NodeStop        Kind = "node-stop"
-	NodePause       Kind = "node-pause"
-	NodeReload      Kind = "node-reload"
-	AllKill         Kind = "all-nodes-kill"
-	UpstreamDies    Kind = "upstream-dies"
-	UpstreamDrains  Kind = "upstream-drains"
-	UpstreamLeaves  Kind = "upstream-leaves"
-	UpstreamCut     Kind = "upstream-cut"
-	UpstreamReset   Kind = "upstream-connections-reset"
-	UpstreamSilence Kind = "upstream-connections-silent"
-	UpstreamStalls  Kind = "upstream-stalls"
-	UpstreamRefuses Kind = "upstream-refuses"
-	AllRefuse       Kind = "all-upstreams-refuse"
-	UpstreamCuts    Kind = "upstream-cuts-streams"
-	UpstreamForeign Kind = "upstream-answers-others"
-	UpstreamLimits  Kind = "upstream-names-a-limit"
-	UpstreamRests   Kind = "upstream-asks-for-rest"
-	UpstreamSays    Kind = "upstream-says-it-leaves"
-	PlainDrains     Kind = "plain-upstream-drains"
-	PlainCut        Kind = "plain-upstream-cut"
-	CallersMany     Kind = "callers-many"
-	CallersLeave    Kind = "callers-leave"
-	RequestCrashes  Kind = "request-crashes-upstreams"
-	// MachineLate is noted, never played.
-	MachineLate Kind = "machine-late"
-	RouteAdded  Kind = "route-added"
-	KeyRevoked  Kind = "key-revoked"
+	StoreDown                   Kind = "store-down"
+	StoreUnresponsive           Kind = "store-silent"
+	StoreSlow                   Kind = "store-slow"
+	StoreForgets                Kind = "store-forgets"
+	StoreLosesResponses         Kind = "store-loses-answers"
+	NodePartitionedFromStore    Kind = "node-cut-from-store"
+	NodeOneWayFromStore         Kind = "node-hears-nothing-of-store"
+	NodeStoreConnectionsSilent  Kind = "node-connections-silent"
+	NodePartitionedFromNodes    Kind = "node-cut-from-nodes"
+	NodeOneWayFromNodes         Kind = "node-answers-no-nodes"
+	NodeLinksSilent             Kind = "node-links-silent"
+	NodeLinksReset              Kind = "node-links-reset"
+	NodeKill                    Kind = "node-kill"
+	NodeStop                    Kind = "node-stop"
+	NodePause                   Kind = "node-pause"
+	NodeReload                  Kind = "node-reload"
+	AllNodesKill                Kind = "all-nodes-kill"
+	UpstreamCrashes             Kind = "upstream-dies"
+	UpstreamDrains              Kind = "upstream-drains"
+	UpstreamLeaves              Kind = "upstream-leaves"
+	UpstreamPartitioned         Kind = "upstream-cut"
+	UpstreamConnectionsReset    Kind = "upstream-connections-reset"
+	UpstreamConnectionsSilent   Kind = "upstream-connections-silent"
+	UpstreamStalls              Kind = "upstream-stalls"
+	UpstreamRefuses             Kind = "upstream-refuses"
+	AllUpstreamsRefuse          Kind = "all-upstreams-refuse"
+	UpstreamTruncatesStreams    Kind = "upstream-cuts-streams"
+	UpstreamMisdirectsResponses Kind = "upstream-answers-others"
+	UpstreamReportsLimit        Kind = "upstream-names-a-limit"
+	UpstreamRequestsBackoff     Kind = "upstream-asks-for-rest"
+	UpstreamReportsLeaving      Kind = "upstream-says-it-leaves"
+	PlainUpstreamDrains         Kind = "plain-upstream-drains"
+	PlainUpstreamPartitioned    Kind = "plain-upstream-cut"
+	CallerSurge                 Kind = "callers-many"
+	CallersDisconnect           Kind = "callers-leave"
+	RequestCrashesUpstreams     Kind = "request-crashes-upstreams"
+	// SchedulingStall is only recorded, never part of a schedule.
+	SchedulingStall Kind = "machine-late"
+	RouteAdded      Kind = "route-added"
+	KeyRevoked      Kind = "key-revoked"
 )
 
 // Fault is one entry of a schedule.
 type Fault struct {
 	At   time.Duration
 	Kind Kind
-	// Target is the number of a node or an upstream; what there is fewer of wraps around.
+	// Target is the number of a node or an upstream, modulo how many there are.
 	Target int
-	// For is how long it lasts; zero for what happens at once.
+	// For is how long the fault lasts; zero if it has no duration.
 	For time.Duration
 }
 
-// String is the fault's line in a schedule.
+// String formats the fault as a line of a schedule.
 func (f Fault) String() string { return fmt.Sprintf("%s %s %d %s", f.At, f.Kind, f.Target, f.For) }
 
-// shape is how often a kind is drawn and how long it lasts.
-type shape struct {
-	kind        Kind
-	weight      int
-	least, most time.Duration
+// faultSpec defines how often a kind is drawn and how long its faults last.
+type faultSpec struct {
+	kind                     Kind
+	weight                   int
+	minDuration, maxDuration time.Duration
 }
 
-var shapes = []shape{
+var faultSpecs = []faultSpec{
 	{StoreDown, 3, 500 * time.Millisecond, 5 * time.Second},
-	{StoreSilent, 3, 500 * time.Millisecond, 5 * time.Second},
+	{StoreUnresponsive, 3, 500 * time.Millisecond, 5 * time.Second},
 	{StoreSlow, 1, time.Second, 4 * time.Second},
 	{StoreForgets, 1, 0, 0},
-	{StoreLoses, 1, 0, 0},
-	{NodeCut, 3, 200 * time.Millisecond, 4 * time.Second},
-	{NodeOneWay, 2, 500 * time.Millisecond, 4 * time.Second},
-	{NodeSilence, 2, 0, 0},
-	{LinkCut, 2, 300 * time.Millisecond, 5 * time.Second},
-	{LinkOneWay, 2, 300 * time.Millisecond, 5 * time.Second},
-	{LinkSilence, 1, 0, 0},
-	{LinkBreak, 1, 0, 0},
+	{StoreLosesResponses, 1, 0, 0},
+	{NodePartitionedFromStore, 3, 200 * time.Millisecond, 4 * time.Second},
+	{NodeOneWayFromStore, 2, 500 * time.Millisecond, 4 * time.Second},
+	{NodeStoreConnectionsSilent, 2, 0, 0},
+	{NodePartitionedFromNodes, 2, 300 * time.Millisecond, 5 * time.Second},
+	{NodeOneWayFromNodes, 2, 300 * time.Millisecond, 5 * time.Second},
+	{NodeLinksSilent, 1, 0, 0},
+	{NodeLinksReset, 1, 0, 0},
 	{NodeKill, 3, 300 * time.Millisecond, 2 * time.Second},
 	{NodeStop, 3, 300 * time.Millisecond, time.Second},
 	{NodePause, 2, 300 * time.Millisecond, 4 * time.Second},
 	{NodeReload, 1, 0, 0},
-	{AllKill, 1, 300 * time.Millisecond, time.Second},
-	{UpstreamDies, 4, time.Second, 4 * time.Second},
+	{AllNodesKill, 1, 300 * time.Millisecond, time.Second},
+	{UpstreamCrashes, 4, time.Second, 4 * time.Second},
 	{UpstreamDrains, 3, 3 * time.Second, 5 * time.Second},
 	{UpstreamLeaves, 4, 4 * time.Second, 6 * time.Second},
-	{UpstreamCut, 3, 300 * time.Millisecond, 8 * time.Second},
-	{UpstreamReset, 2, 0, 0},
-	{UpstreamSilence, 2, 0, 0},
+	{UpstreamPartitioned, 3, 300 * time.Millisecond, 8 * time.Second},
+	{UpstreamConnectionsReset, 2, 0, 0},
+	{UpstreamConnectionsSilent, 2, 0, 0},
 	{UpstreamStalls, 2, time.Second, 3 * time.Second},
 	{UpstreamRefuses, 2, time.Second, 4 * time.Second},
-	{AllRefuse, 1, time.Second, 4 * time.Second},
-	{UpstreamCuts, 2, time.Second, 3 * time.Second},
-	{UpstreamForeign, 1, time.Second, 2 * time.Second},
-	{PlainDrains, 1, 3 * time.Second, 5 * time.Second},
-	{PlainCut, 1, 300 * time.Millisecond, 7 * time.Second},
-	{CallersMany, 1, time.Second, 3 * time.Second},
-	{CallersLeave, 2, time.Second, 4 * time.Second},
-	{RequestCrashes, 2, 2 * time.Second, 8 * time.Second},
+	{AllUpstreamsRefuse, 1, time.Second, 4 * time.Second},
+	{UpstreamTruncatesStreams, 2, time.Second, 3 * time.Second},
+	{UpstreamMisdirectsResponses, 1, time.Second, 2 * time.Second},
+	{PlainUpstreamDrains, 1, 3 * time.Second, 5 * time.Second},
+	{PlainUpstreamPartitioned, 1, 300 * time.Millisecond, 7 * time.Second},
+	{CallerSurge, 1, time.Second, 3 * time.Second},
+	{CallersDisconnect, 2, time.Second, 4 * time.Second},
+	{RequestCrashesUpstreams, 2, 2 * time.Second, 8 * time.Second},
 	{RouteAdded, 3, 0, 0},
 	{KeyRevoked, 1, 0, 0},
-	{UpstreamLimits, 3, 5 * time.Second, 9 * time.Second},
-	{UpstreamRests, 2, time.Second, 4 * time.Second},
-	{UpstreamSays, 2, 4 * time.Second, 7 * time.Second},
+	{UpstreamReportsLimit, 3, 5 * time.Second, 9 * time.Second},
+	{UpstreamRequestsBackoff, 2, time.Second, 4 * time.Second},
+	{UpstreamReportsLeaving, 2, 4 * time.Second, 7 * time.Second},
 }
 
-// draw makes a schedule of a length: single faults, and series of one kind that overlap. Two
-// in three VMs that leave do so soon after the store was away, when news is late.
-func draw(random *rand.Rand, length time.Duration) []Fault {
+// drawSchedule draws the faults of a period: single ones, and overlapping pairs of one kind. After
+// two in three store outages a VM leaves within 4 s, while updates from the store may still be late.
+func drawSchedule(random *rand.Rand, length time.Duration) []Fault {
 	const meanGap = 900 * time.Millisecond
 	var out []Fault
-	for at := time.Duration(0); at < length; at += between(random, meanGap/3, 2*meanGap-meanGap/3) {
-		f := one(random, at)
+	for at := time.Duration(0); at < length; at += randomDuration(random, meanGap/3, 2*meanGap-meanGap/3) {
+		f := drawFault(random, at)
 		out = append(out, f)
 		switch {
 		case random.IntN(5) == 0:
-			again := f
-			again.At += f.For/2 + 200*time.Millisecond
-			again.Target++
-			out = append(out, again)
-		case f.Kind == StoreDown || f.Kind == StoreSilent || f.Kind == NodeCut:
-			leaves := Fault{At: f.At + f.For + between(random, 0, 4*time.Second), Kind: UpstreamLeaves, Target: random.IntN(64), For: 5 * time.Second}
+			repeated := f
+			repeated.At += f.For/2 + 200*time.Millisecond
+			repeated.Target++
+			out = append(out, repeated)
+		case f.Kind == StoreDown || f.Kind == StoreUnresponsive || f.Kind == NodePartitionedFromStore:
+			leaves := Fault{At: f.At + f.For + randomDuration(random, 0, 4*time.Second), Kind: UpstreamLeaves, Target: random.IntN(64), For: 5 * time.Second}
 			if random.IntN(3) > 0 {
 				out = append(out, leaves)
 			}
 		}
 	}
 	for i := range out {
-		out[i].For = min(out[i].For, max(length-out[i].At, 0)+calmBegin/4)
+		out[i].For = min(out[i].For, max(length-out[i].At, 0)+recoveryTime/4)
 	}
-	out = append(out, calmTail(random, length)...)
+	out = append(out, finalFaults(random, length)...)
 	slices.SortStableFunc(out, func(a, b Fault) int { return int(a.At - b.At) })
 	return out
 }
 
-// plannedShapes are stops, reloads and changes, and hold-ups that are shorter than a node is given up
-// for.
-var plannedShapes = []shape{
+// plannedFaultSpecs are stops, reloads and configuration changes, and pauses that are too short
+// for the other nodes to consider the node lost.
+var plannedFaultSpecs = []faultSpec{
 	{NodeStop, 6, 300 * time.Millisecond, time.Second},
 	{NodeReload, 3, 0, 0},
 	{NodePause, 3, 150 * time.Millisecond, 700 * time.Millisecond},
 	{RouteAdded, 5, 0, 0},
 	{KeyRevoked, 1, 0, 0},
-	{CallersMany, 1, time.Second, 3 * time.Second},
+	{CallerSurge, 1, time.Second, 3 * time.Second},
 }
 
-// drawPlanned makes a schedule of planned work alone, in series that overlap.
-func drawPlanned(random *rand.Rand, length time.Duration) []Fault {
+// drawPlannedSchedule draws only planned operations and short pauses, in overlapping series.
+func drawPlannedSchedule(random *rand.Rand, length time.Duration) []Fault {
 	const meanGap = 500 * time.Millisecond
 	var out []Fault
-	for at := time.Duration(0); at < length; at += between(random, meanGap/3, 2*meanGap-meanGap/3) {
-		f := oneOf(random, at, plannedShapes)
+	for at := time.Duration(0); at < length; at += randomDuration(random, meanGap/3, 2*meanGap-meanGap/3) {
+		f := drawFaultOf(random, at, plannedFaultSpecs)
 		out = append(out, f)
-		for again := f; random.IntN(2) == 0; {
-			again.At += between(random, 100*time.Millisecond, 600*time.Millisecond)
-			again.Target++
-			out = append(out, again)
+		for repeated := f; random.IntN(2) == 0; {
+			repeated.At += randomDuration(random, 100*time.Millisecond, 600*time.Millisecond)
+			repeated.Target++
+			out = append(out, repeated)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Fault) int { return int(a.At - b.At) })
 	return out
 }
 
-// calmBegin is when the nodes count as in touch after the drawn faults.
-const calmBegin = 4 * time.Second
+// recoveryTime is how long after the drawn faults the nodes count as connected again.
+const recoveryTime = 4 * time.Second
 
-// calmTail ends each schedule with what the checks that need an undisturbed node judge: a crowd,
-// upstreams that leave or hang while callers leave, a graceful stop by itself, upstreams that name a limit, ask
-// for rest or say that they leave, and a request that ends its upstreams.
-func calmTail(random *rand.Rand, length time.Duration) []Fault {
-	at := func(s float64) time.Duration { return length + calmBegin + time.Duration(s*float64(time.Second)) }
+// finalFaults returns the faults that end each schedule. They give the checks that need an
+// otherwise undisturbed node something to check: a load surge, upstreams that leave or hang while
+// callers disconnect, a single graceful stop, upstreams that report a limit, ask for backoff or
+// report that they leave, and a request that crashes its upstreams.
+func finalFaults(random *rand.Rand, length time.Duration) []Fault {
+	at := func(s float64) time.Duration { return length + recoveryTime + time.Duration(s*float64(time.Second)) }
 	return []Fault{
-		{at(0), CallersMany, 0, 2 * time.Second},
-		{at(3), PlainCut, 0, 6500 * time.Millisecond},
+		{at(0), CallerSurge, 0, 2 * time.Second},
+		{at(3), PlainUpstreamPartitioned, 0, 6500 * time.Millisecond},
 		{at(3), UpstreamLeaves, random.IntN(64), 5 * time.Second},
-		{at(3.2), PlainDrains, 0, 4500 * time.Millisecond},
-		{at(3.2), CallersLeave, 0, 3 * time.Second},
+		{at(3.2), PlainUpstreamDrains, 0, 4500 * time.Millisecond},
+		{at(3.2), CallersDisconnect, 0, 3 * time.Second},
 		{at(3.4), RouteAdded, 0, 0},
-		{at(8.5), UpstreamLimits, random.IntN(64), 9500 * time.Millisecond},
+		{at(8.5), UpstreamReportsLimit, random.IntN(64), 9500 * time.Millisecond},
 		{at(13), NodeStop, random.IntN(64), 300 * time.Millisecond},
-		{at(17), UpstreamRests, random.IntN(64), 2 * time.Second},
-		{at(18), UpstreamSays, random.IntN(64), 8 * time.Second},
-		{at(18), RequestCrashes, 1000, 8 * time.Second},
+		{at(17), UpstreamRequestsBackoff, random.IntN(64), 2 * time.Second},
+		{at(18), UpstreamReportsLeaving, random.IntN(64), 8 * time.Second},
+		{at(18), RequestCrashesUpstreams, 1000, 8 * time.Second},
 	}
 }
 
-func one(random *rand.Rand, at time.Duration) Fault { return oneOf(random, at, shapes) }
+func drawFault(random *rand.Rand, at time.Duration) Fault { return drawFaultOf(random, at, faultSpecs) }
 
-// oneOf draws a fault of one of the shapes.
-func oneOf(random *rand.Rand, at time.Duration, shapes []shape) Fault {
+// drawFaultOf draws a fault by the weights of the specs.
+func drawFaultOf(random *rand.Rand, at time.Duration, specs []faultSpec) Fault {
 	total := 0
-	for _, s := range shapes {
+	for _, s := range specs {
 		total += s.weight
 	}
-	left := random.IntN(total)
-	for _, s := range shapes {
-		if left < s.weight {
-			return Fault{At: at, Kind: s.kind, Target: random.IntN(64), For: between(random, s.least, s.most)}
+	remaining := random.IntN(total)
+	for _, s := range specs {
+		if remaining < s.weight {
+			return Fault{At: at, Kind: s.kind, Target: random.IntN(64), For: randomDuration(random, s.minDuration, s.maxDuration)}
 		}
-		left -= s.weight
+		remaining -= s.weight
 	}
-	panic("the weights do not add up")
+	panic("drawn number exceeds the sum of the weights")
 }
 
-// between is a length from least to most, in whole milliseconds.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+// randomDuration returns a duration between minimum and maximum in whole milliseconds.
+func randomDuration(random *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	if maximum <= minimum {
+		return minimum
 	}
-	return (least + time.Duration(random.Int64N(int64(most-least)))).Round(time.Millisecond)
+	return (minimum + time.Duration(random.Int64N(int64(maximum-minimum)))).Round(time.Millisecond)
 }
 
-// readSchedule reads lines as Fault.String writes them; empty ones and comments are passed over.
+// readSchedule reads lines as Fault.String formats them and skips empty lines and comments.
 func readSchedule(r io.Reader) ([]Fault, error) {
 	var out []Fault
 	lines := bufio.NewScanner(r)
@@ -245,21 +247,21 @@
 }
 
 func parseFault(text string) (Fault, error) {
-	var at, kind, lasts string
+	var at, kind, duration string
 	var f Fault
-	if _, err := fmt.Sscan(text, &at, &kind, &f.Target, &lasts); err != nil {
-		return f, errors.Wrap(err, "want TIME KIND TARGET LENGTH")
+	if _, err := fmt.Sscan(text, &at, &kind, &f.Target, &duration); err != nil {
+		return f, errors.Wrap(err, "expected TIME KIND TARGET DURATION")
 	}
 	var err error
 	if f.At, err = time.ParseDuration(at); err != nil {
 		return f, err
 	}
-	if f.For, err = time.ParseDuration(lasts); err != nil {
+	if f.For, err = time.ParseDuration(duration); err != nil {
 		return f, err
 	}
 	f.Kind = Kind(kind)
-	if !slices.ContainsFunc(shapes, func(s shape) bool { return s.kind == f.Kind }) {
-		return f, errors.Newf("no kind %q", kind)
+	if !slices.ContainsFunc(faultSpecs, func(s faultSpec) bool { return s.kind == f.Kind }) {
+		return f, errors.Newf("unknown kind %q", kind)
 	}
 	return f, nil
 }
--- a/test/soak/schedule_test.go
+++ b/test/soak/schedule_test.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// TestScheduleIsReadAsWritten: a kept schedule plays the same faults again.
+// TestScheduleIsReadAsWritten guards against a stored schedule that repeats other faults than the
+// run that stored it.
 func TestScheduleIsReadAsWritten(t *testing.T) {
-	drawn := draw(rand.New(rand.NewPCG(7, 0)), 12*time.Second)
+	drawn := drawSchedule(rand.New(rand.NewPCG(7, 0)), 12*time.Second)
 	var text strings.Builder
 	text.WriteString("# kept\n\n")
 	for _, f := range drawn {
 		text.WriteString(f.String() + "\n")
 	}
-	again, err := readSchedule(strings.NewReader(text.String()))
-	if err != nil || !slices.Equal(drawn, again) {
-		t.Errorf("%v: %v is not %v", err, again, drawn)
+	read, err := readSchedule(strings.NewReader(text.String()))
+	if err != nil || !slices.Equal(drawn, read) {
+		t.Errorf("read back %v (error %v), want %v", read, err, drawn)
 	}
-	if !slices.Equal(drawn, draw(rand.New(rand.NewPCG(7, 0)), 12*time.Second)) {
-		t.Error("one seed draws two schedules")
+	if !slices.Equal(drawn, drawSchedule(rand.New(rand.NewPCG(7, 0)), 12*time.Second)) {
+		t.Error("equal seeds drew different schedules")
 	}
 }
 
-// TestBadScheduleIsRefused names the line.
-func TestBadScheduleIsRefused(t *testing.T) {
+// TestInvalidScheduleIsRejected checks that the error names the invalid line.
+func TestInvalidScheduleIsRejected(t *testing.T) {
 	for _, text := range []string{"1s node-kill 2", "1s no-such-kind 2 1s", "soon node-kill 2 1s", "1s node-kill x 1s", "1s node-kill 2 long"} {
 		if _, err := readSchedule(strings.NewReader("1s node-kill 2 1s\n" + text)); err == nil || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v does not name line 2", text, err)
 		}
 	}
 }
--- a/test/soak/shrink.go
+++ b/test/soak/shrink.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// shrink looks for a shorter schedule that breaks the same promise: it leaves out halves, then
-// smaller parts, and keeps what still fails. Runs are not wholly repeatable, so a part counts as
-// needless only if the run without it fails.
-func shrink(c config, faults []Fault, promise, dir string) []Fault {
+// shrink searches for a shorter schedule that fails the same check: it leaves out halves, then
+// smaller parts, and keeps each shorter schedule that still fails. Runs are not fully
+// deterministic, so a part is only left out if the run without it fails.
+func shrink(c config, faults []Fault, check, dir string) []Fault {
 	for part := len(faults) / 2; part > 0; part /= 2 {
 		for from := 0; from < len(faults); {
 			fewer := append(append([]Fault(nil), faults[:from]...), faults[min(from+part, len(faults)):]...)
-			if len(fewer) > 0 && fails(c, fewer, promise, dir) {
+			if len(fewer) > 0 && stillFails(c, fewer, check, dir) {
 				faults = fewer
-				fmt.Printf("  %d faults still break it\n", len(faults))
+				fmt.Printf("  still fails with %d faults\n", len(faults))
 				continue
 			}
 			from += part
@@ -26,22 +26,22 @@
 	return faults
 }
 
-func fails(c config, faults []Fault, promise, dir string) bool {
+func stillFails(c config, faults []Fault, check, dir string) bool {
 	r, err := runOnce(c, faults, dir)
 	if err != nil {
-		fmt.Printf("  a shorter schedule could not be played: %v\n", err)
+		fmt.Printf("  cannot run a shorter schedule: %v\n", err)
 		return false
 	}
-	for _, v := range r.found {
-		if v.check == promise {
+	for _, v := range r.violations {
+		if v.check == check {
 			return true
 		}
 	}
 	return false
 }
 
-// printLines prints what the nodes logged of the first broken request.
-func printLines(dir string, nodes int, found []violation) {
+// printNodeLogs prints the nodes' log lines about the first request with a violation.
+func printNodeLogs(dir string, nodes int, found []violation) {
 	for _, v := range found {
 		if v.request == "" {
 			continue
@@ -61,8 +61,8 @@
 	}
 	defer func() { _ = file.Close() }()
 	lines := bufio.NewScanner(file)
-	const longest = 1 << 20
-	lines.Buffer(nil, longest)
+	const maxLineBytes = 1 << 20
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), text) {
 			fmt.Printf("  %s\n", lines.Text())
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ciSlack is what CI adds to bounds on time: its machine may be busy.
+// ciSlack is added to the time limits in CI, whose machine may be busy.
 const ciSlack = 3 * time.Second
 
-// TestOneSeed is the soak's short run: one seed against the real node.
+// TestOneSeed runs one short seed of the soak against marbleroad-node.
 func TestOneSeed(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "marbleroad-node")
@@ -19,14 +19,14 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	c := config{binary: binary, seed: 1, nodes: 3, engines: 8, plain: 3, callers: 12, length: 6 * time.Second, slack: ciSlack}
-	r, err := runOnce(c, draw(rand.New(rand.NewPCG(c.seed, 0)), c.length), dir)
+	r, err := runOnce(c, drawSchedule(rand.New(rand.NewPCG(c.seed, 0)), c.length), dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.whole == 0 {
-		t.Error("nothing was answered")
+	if r.complete == 0 {
+		t.Error("no request was answered completely")
 	}
-	for _, v := range r.found {
+	for _, v := range r.violations {
 		t.Error(v)
 	}
 }
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -15,34 +15,35 @@
 	"github.com/marbleroad/marbleroad/test/standin/objectstore"
 )
 
-// What the site promises; the nodes' settings are made from the same figures.
+// Limits that the checks apply; the nodes' settings and the configuration use the same values.
 const (
-	attempts     = 2
+	maxAttempts  = 2
 	streamEvents = 50
-	// longEvents is how many events long streams have, one in longShare; they take 3.6 s.
-	longEvents   = 120
-	longShare    = 5
-	eventPause   = 30 * time.Millisecond
-	groupSize    = 2
-	engineSlots  = 8
-	repeatRatio  = 0.2
-	repeatExtra  = 20
-	repeatWindow = 10 * time.Second
-	revokeBound  = 5 * time.Second
-	stopGrace    = 8 * time.Second
-	stallBound   = time.Second
-	// patience is how long callers wait.
-	patience = 5 * time.Second
-	// idleTimeout and headerTimeout limit callers' connections; callers pause for less.
+	// longStreamEvents is the number of events of a long stream, which takes 3.6 s; one stream in
+	// longStreamFrequency is long.
+	longStreamEvents    = 120
+	longStreamFrequency = 5
+	eventInterval       = 30 * time.Millisecond
+	groupSize           = 2
+	engineSlots         = 8
+	repeatRatio         = 0.2
+	repeatExtra         = 20
+	repeatWindow        = 10 * time.Second
+	revokeBound         = 5 * time.Second
+	stopGrace           = 8 * time.Second
+	stallBound          = time.Second
+	// callerTimeout is how long callers wait for an answer.
+	callerTimeout = 5 * time.Second
+	// idleTimeout and headerTimeout limit callers' connections. Callers pause for less than either.
 	idleTimeout   = 3 * time.Second
 	headerTimeout = 2 * time.Second
-	// loadTime is how long the fastest VM takes to join or to copy; one in four takes five
-	// times as long.
+	// loadTime is how long the fastest VM takes to join a group or to copy a model; one VM in four
+	// takes five times as long.
 	loadTime = 50 * time.Millisecond
-	// plainWork is how long a plain VM takes.
-	plainWork = 30 * time.Millisecond
-	// lapseTime is how long the entry of a dead VM stays.
-	lapseTime = 2 * time.Second
+	// plainServiceTime is how long a plain VM takes for a request.
+	plainServiceTime = 30 * time.Millisecond
+	// entryExpiry is how long the entry of a dead VM stays in the store.
+	entryExpiry = 2 * time.Second
 )
 
 const (
@@ -54,7 +55,7 @@
 	vmPort      = 8080
 )
 
-// Hosts of the site's own network, 127.NET.ROLE.NUMBER.
+// Third byte of the testbed's loopback addresses, 127.SUBNET.ROLE.NUMBER.
 const (
 	roleNode = iota + 101
 	roleStoreProxy
@@ -64,214 +65,216 @@
 	roleNodeProxy
 )
 
-// world is everything that runs: the real programs as processes, the stand-ins, and a
-// proxy in front of each stand-in.
-type world struct {
+// testbed runs the nodes as processes, the stand-ins for the store and the VMs, and the proxies
+// that inject network faults between them.
+type testbed struct {
 	config
-	net     int
+	subnet  int
 	dir     string
 	history *history
 	store   *objectstore.Store
 	servers []*http.Server
 	nodes   []*node
 
-	mu       sync.Mutex
-	upstream []*upstream
-	byID     map[string]*upstream
-	hosts    int
-	version  int
-	routes   []int
-	keys     []string
-	revoked  []string
-	// storeAway counts the faults that have the store refuse everything.
-	storeAway int
-	ended     chan struct{}
-	running   sync.WaitGroup
-	callers   *callers
-	// failure is what went wrong with the world itself.
-	failure error
+	mu            sync.Mutex
+	upstreams     []*upstream
+	upstreamsByID map[string]*upstream
+	nextUpstream  int
+	version       int
+	routes        []int
+	keys          []string
+	revoked       []string
+	// storeOutages counts the active faults that make the store refuse all requests.
+	storeOutages int
+	stopped      chan struct{}
+	running      sync.WaitGroup
+	callers      *callers
+	// err holds failures of the testbed itself.
+	err error
 }
 
-// fail notes what went wrong with the world itself, which no verdict is to be had of.
-func (w *world) fail(err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.failure = errors.CombineErrors(w.failure, err)
+// recordError records a failure of the testbed itself; such a run is not checked.
+func (tb *testbed) recordError(err error) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.err = errors.CombineErrors(tb.err, err)
 }
 
-// upstream is one VM: a stand-in, its server and the proxy that callers of it go through.
+// upstream is one VM: a stand-in, its server and the proxy in front of it.
 type upstream struct {
 	id     string
 	number int
 	vm     *groupengine.VM
 	server *http.Server
-	way    *lever
+	link   *faultLink
 	plain  bool
-	// leaving, gone and says, which is true while the VM says something of itself, are guarded by the
-	// world's lock.
-	leaving, gone, says bool
+	// The testbed's mutex guards these. reportsCondition is true while a fault makes the VM report
+	// a condition with its responses.
+	leaving, terminated, reportsCondition bool
 }
 
-// lever is a proxy whose faults may overlap: the gravest that is on holds.
-type lever struct {
-	proxy *faultproxy.Proxy
-	mu    sync.Mutex
-	on    map[faultproxy.Mode]int
+// faultLink is a proxy whose faults may overlap; the most severe active fault applies.
+type faultLink struct {
+	proxy  *faultproxy.Proxy
+	mu     sync.Mutex
+	active map[faultproxy.Mode]int
 }
 
-func (l *lever) change(m faultproxy.Mode, by int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.on[m] += by
-	for _, gravest := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseAnswers} {
-		if l.on[gravest] > 0 {
-			l.proxy.Set(gravest)
+// adjust changes the number of active faults of a mode by one and applies the most severe active mode.
+func (fl *faultLink) adjust(m faultproxy.Mode, by int) {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	fl.active[m] += by
+	for _, mode := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseAnswers} {
+		if fl.active[mode] > 0 {
+			fl.proxy.Set(mode)
 			return
 		}
 	}
-	l.proxy.Set(faultproxy.Pass)
+	fl.proxy.Set(faultproxy.Pass)
 }
 
-func (w *world) ip(role, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", w.net, role, number+1)
+func (tb *testbed) ip(role, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", tb.subnet, role, number+1)
 }
 
-func (w *world) addr(role, number, port int) string {
-	return net.JoinHostPort(w.ip(role, number), fmt.Sprint(port))
+func (tb *testbed) addr(role, number, port int) string {
+	return net.JoinHostPort(tb.ip(role, number), fmt.Sprint(port))
 }
 
-// newWorld starts everything and waits until all nodes are ready.
-func newWorld(c config, dir string) (*world, error) {
-	w := &world{config: c, net: 20 + os.Getpid()%200, dir: dir, history: &history{}, store: objectstore.New(),
-		byID: make(map[string]*upstream), ended: make(chan struct{})}
-	if _, err := w.serve(w.addr(roleStore, 0, storePort), w.store); err != nil {
-		return w, err
+// newTestbed starts the stand-ins, proxies and nodes and waits until all nodes are ready.
+func newTestbed(c config, dir string) (*testbed, error) {
+	tb := &testbed{config: c, subnet: 20 + os.Getpid()%200, dir: dir, history: &history{}, store: objectstore.New(),
+		upstreamsByID: make(map[string]*upstream), stopped: make(chan struct{})}
+	if _, err := tb.serve(tb.addr(roleStore, 0, storePort), tb.store); err != nil {
+		return tb, err
 	}
 	for i := range 8 {
-		w.keys = append(w.keys, fmt.Sprintf("key-%d", i))
+		tb.keys = append(tb.keys, fmt.Sprintf("key-%d", i))
 	}
-	w.putConfiguration("")
+	tb.putConfiguration("")
 	for i := range c.engines + c.plain {
-		if err := w.addUpstream(i >= c.engines); err != nil {
-			return w, err
+		if err := tb.addUpstream(i >= c.engines); err != nil {
+			return tb, err
 		}
 	}
 	for i := range c.nodes {
-		if err := w.addNode(i); err != nil {
-			return w, err
+		if err := tb.addNode(i); err != nil {
+			return tb, err
 		}
 	}
-	w.running.Go(w.watchHeads)
-	w.running.Go(w.watchMachine)
-	w.callers = newCallers(w)
-	return w, w.waitReady()
+	tb.running.Go(tb.checkHeads)
+	tb.running.Go(tb.watchSchedulingStalls)
+	tb.callers = newCallers(tb)
+	return tb, tb.waitReady()
 }
 
-func (w *world) serve(address string, h http.Handler) (*http.Server, error) {
+func (tb *testbed) serve(address string, h http.Handler) (*http.Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
 	server := &http.Server{Handler: h}
 	go func() { _ = server.Serve(l) }()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.servers = append(w.servers, server)
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.servers = append(tb.servers, server)
 	return server, nil
 }
 
-// addUpstream starts a VM of a new life at a new address.
-func (w *world) addUpstream(plain bool) error {
-	w.mu.Lock()
-	number := w.hosts
-	w.hosts++
-	w.mu.Unlock()
+// addUpstream starts a VM with a new ID at a new address.
+func (tb *testbed) addUpstream(plain bool) error {
+	tb.mu.Lock()
+	number := tb.nextUpstream
+	tb.nextUpstream++
+	tb.mu.Unlock()
 	service, events := "llm", streamEvents
 	if plain {
 		service, events = "api", 0
 	}
-	proxy, err := faultproxy.New(w.addr(roleVMProxy, number, vmPort), w.addr(roleVM, number, vmPort))
+	proxy, err := faultproxy.New(tb.addr(roleVMProxy, number, vmPort), tb.addr(roleVM, number, vmPort))
 	if err != nil {
-		return errors.Wrap(err, "proxy of a VM")
+		return errors.Wrap(err, "start proxy of a VM")
 	}
-	u := &upstream{id: fmt.Sprintf("vm-%d", number), number: number, plain: plain, way: &lever{proxy: proxy, on: make(map[faultproxy.Mode]int)}}
-	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), Zone: w.domain(number), Domain: "fabric-" + w.domain(number),
-		Load: loadOf(number), Events: events, Pause: eventPause, Work: plainWork, Observe: w.observe, Member: w.member, StallBound: stallBound}, w.store)
-	server, err := w.serve(w.addr(roleVM, number, vmPort), u.vm)
+	u := &upstream{id: fmt.Sprintf("vm-%d", number), number: number, plain: plain, link: &faultLink{proxy: proxy, active: make(map[faultproxy.Mode]int)}}
+	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), Zone: tb.failureDomain(number), Domain: "fabric-" + tb.failureDomain(number),
+		Load: loadDuration(number), Events: events, Pause: eventInterval, Work: plainServiceTime, Observe: tb.observe, Member: tb.findVM, StallBound: stallBound}, tb.store)
+	server, err := tb.serve(tb.addr(roleVM, number, vmPort), u.vm)
 	if err != nil {
 		return err
 	}
 	u.server = server
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.upstream = append(w.upstream, u)
-	w.byID[u.id] = u
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.upstreams = append(tb.upstreams, u)
+	tb.upstreamsByID[u.id] = u
 	return nil
 }
 
-func loadOf(number int) time.Duration {
+func loadDuration(number int) time.Duration {
 	if number/2%4 == 1 {
 		return 5 * loadTime
 	}
 	return loadTime
 }
 
-// domain spreads nodes and VMs over two failure domains.
-func (w *world) domain(number int) string { return [...]string{"a", "b"}[number%2] }
+// failureDomain spreads nodes and VMs over two failure domains.
+func (tb *testbed) failureDomain(number int) string { return [...]string{"a", "b"}[number%2] }
 
-// member finds a VM that is still there.
-func (w *world) member(id string) *groupengine.VM {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	u := w.byID[id]
-	if u == nil || u.gone {
+// findVM returns a VM by its ID, or nil if it was terminated.
+func (tb *testbed) findVM(id string) *groupengine.VM {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	u := tb.upstreamsByID[id]
+	if u == nil || u.terminated {
 		return nil
 	}
 	return u.vm
 }
 
-// observe keeps what a VM tells, and looks at the head of the group that a join takes it from.
-func (w *world) observe(o groupengine.Observation) {
-	w.history.observe(o)
-	w.crashIfAsked(o)
+// observe records an observation of a VM. When the VM joins another group, it checks whether the
+// head of its old group may still serve.
+func (tb *testbed) observe(o groupengine.Observation) {
+	tb.history.recordObservation(o)
+	tb.crashOnRequest(o)
 	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.Old.Name == o.Group {
 		return
 	}
 	if o.OldMembers[0] == o.VM {
 		if o.Old.State == "open" {
-			w.history.took(o)
+			tb.history.recordJoinFromOpenGroup(o)
 		}
 		return
 	}
-	head := w.member(o.OldMembers[0])
+	head := tb.findVM(o.OldMembers[0])
 	if head != nil && head.In(o.Old.Name, o.Old.Epoch) && head.State() == "open" {
-		w.history.took(o)
+		tb.history.recordJoinFromOpenGroup(o)
 	}
 }
 
-// live lists the VMs that are there.
-func (w *world) live() []*upstream {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// liveUpstreams returns the VMs that were not terminated.
+func (tb *testbed) liveUpstreams() []*upstream {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	var out []*upstream
-	for _, u := range w.upstream {
-		if !u.gone {
+	for _, u := range tb.upstreams {
+		if !u.terminated {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// watchHeads has heads notice the loss of their members.
-func (w *world) watchHeads() {
+// checkHeads makes the heads check their members regularly, so that they detect lost ones.
+func (tb *testbed) checkHeads() {
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-w.ended:
+		case <-tb.stopped:
 			return
 		case now := <-ticker.C:
-			for _, u := range w.live() {
+			for _, u := range tb.liveUpstreams() {
 				u.vm.Watch(now)
 			}
 		}
@@ -279,72 +282,75 @@
 }
 
 const (
-	// machineTick is how often the soak looks whether it gets the processor.
-	machineTick = 20 * time.Millisecond
-	// machineLate is how late it may be; what runs beside it then waited as long.
-	machineLate = 200 * time.Millisecond
+	// stallCheckInterval is how often the soak checks whether it is scheduled on time.
+	stallCheckInterval = 20 * time.Millisecond
+	// minSchedulingStall is the delay from which a check counts as a scheduling stall, which
+	// affects the other processes of the machine as well.
+	minSchedulingStall = 200 * time.Millisecond
 )
 
-// watchMachine notes when the machine let this process wait: then nothing can be said of how long
-// a node took, whose own log may say a few milliseconds. The summary tells it.
-func (w *world) watchMachine() {
-	last := time.Now()
+// watchSchedulingStalls records the times in which this process was not scheduled. How long a node
+// took cannot be checked for them: its own log may show a few milliseconds. The summary of the
+// run counts them.
+func (tb *testbed) watchSchedulingStalls() {
+	lastCheck := time.Now()
 	for {
 		select {
-		case <-w.ended:
+		case <-tb.stopped:
 			return
-		case <-time.After(machineTick):
+		case <-time.After(stallCheckInterval):
 		}
 		now := time.Now()
-		if now.Sub(last) > machineLate {
-			w.history.disturbed(span{node: everyNode, from: last, to: now, what: MachineLate})
+		if now.Sub(lastCheck) > minSchedulingStall {
+			tb.history.recordDisturbance(disturbance{node: everyNode, from: lastCheck, to: now, kind: SchedulingStall})
 		}
-		last = now
+		lastCheck = now
 	}
 }
 
-const startLimit = 20 * time.Second
+const startupTimeout = 20 * time.Second
 
-func (w *world) waitReady() error {
-	for deadline := time.Now().Add(startLimit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+func (tb *testbed) waitReady() error {
+	for deadline := time.Now().Add(startupTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		ready := 0
-		for _, n := range w.nodes {
-			if ok, _ := n.inRotation(); ok {
+		for _, n := range tb.nodes {
+			if ok, _ := n.readyIncarnation(); ok {
 				ready++
 			}
 		}
 		open := 0
-		for _, u := range w.live() {
+		for _, u := range tb.liveUpstreams() {
 			if u.vm.State() == "open" {
 				open++
 			}
 		}
-		if ready == len(w.nodes) && open >= w.engines/groupSize-1 {
+		if ready == len(tb.nodes) && open >= tb.engines/groupSize-1 {
 			return nil
 		}
 	}
-	return errors.New("the site does not come up")
+	return errors.New("nodes and groups did not become ready in time")
 }
 
-// putConfiguration writes a new version as an operator does; revoked is the key that it drops.
-func (w *world) putConfiguration(revoked string) {
-	w.mu.Lock()
-	w.version++
-	version := w.version
-	w.mu.Unlock()
-	w.store.Put("config", "main", w.configuration(version))
-	w.history.changed(accepted{version: version, at: time.Now(), revoked: revoked})
+// putConfiguration writes a new version of the configuration as an operator does. revoked is the
+// key that the version removes, or empty.
+func (tb *testbed) putConfiguration(revoked string) {
+	tb.mu.Lock()
+	tb.version++
+	version := tb.version
+	tb.mu.Unlock()
+	tb.store.Put("config", "main", tb.configuration(version))
+	tb.history.recordVersion(acceptedVersion{version: version, at: time.Now(), revokedKey: revoked})
 }
 
-func (w *world) configuration(version int) map[string]any {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tb *testbed) configuration(version int) map[string]any {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	route := func(prefix, kind, service string) map[string]any {
-		return map[string]any{"name": prefix, "host": "h.example", "path-prefix": prefix, "kind": kind, "timeout-ms": patience.Milliseconds(),
-			"slo-ms": 1000, "gap-slo-ms": 500, "service": service, "attempts": attempts, "resumable": kind == "streaming"}
+		return map[string]any{"name": prefix, "host": "h.example", "path-prefix": prefix, "kind": kind, "timeout-ms": callerTimeout.Milliseconds(),
+			"slo-ms": 1000, "gap-slo-ms": 500, "service": service, "attempts": maxAttempts, "resumable": kind == "streaming"}
 	}
 	routes := []any{route("/stream/", "streaming", "llm"), route("/read/", "idempotent", "api"), route("/write/", "non_idempotent", "api")}
-	for _, v := range w.routes {
+	for _, v := range tb.routes {
 		routes = append(routes, route(fmt.Sprintf("/new-%d/", v), "idempotent", "api"))
 	}
 	return map[string]any{
@@ -357,25 +363,25 @@
 			map[string]any{"name": "api"},
 		},
 		"limits":  map[string]any{"idle-timeout-ms": idleTimeout.Milliseconds(), "header-timeout-ms": headerTimeout.Milliseconds()},
-		"tenants": []any{map[string]any{"name": "team", "api-keys": append([]string(nil), w.keys...)}},
+		"tenants": []any{map[string]any{"name": "team", "api-keys": append([]string(nil), tb.keys...)}},
 	}
 }
 
-// stop ends everything that this world started.
-func (w *world) stop() {
-	close(w.ended)
-	w.killNodes()
-	w.running.Wait()
-	// A node that a fault was about to start again may have been started meanwhile.
-	w.killNodes()
-	for _, n := range w.nodes {
-		n.way.proxy.Close()
-		n.links.proxy.Close()
+// stop terminates the nodes and closes the proxies and servers.
+func (tb *testbed) stop() {
+	close(tb.stopped)
+	tb.killNodes()
+	tb.running.Wait()
+	// A fault may have restarted a node meanwhile.
+	tb.killNodes()
+	for _, n := range tb.nodes {
+		n.storeLink.proxy.Close()
+		n.peerLink.proxy.Close()
 	}
-	for _, u := range w.upstream {
-		u.way.proxy.Close()
+	for _, u := range tb.upstreams {
+		u.link.proxy.Close()
 	}
-	for _, s := range w.servers {
+	for _, s := range tb.servers {
 		_ = s.Close()
 	}
 }
