--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for people: demo, test, lint, proof, bench, capacity. README.md explains them.
+# Main targets: demo, test, lint, proof, bench, capacity. README.md explains them.
 export CGO_ENABLED = 1
 TOOLS := $(CURDIR)/.tools
 STATICCHECK_VERSION := v0.8.2
@@ -10,7 +10,7 @@
 build:
 	go build -o bin/ ./cmd/... ./test/standin/cmd/...
 
-# PLATFORM=1 shows marbleroad-node before stand-ins of the users' platform.
+# PLATFORM=1 runs marbleroad-node with stand-ins for the users' platform.
 demo: build
 	@scripts/demo$(if $(PLATFORM),-platform).sh
 
@@ -26,11 +26,11 @@
 bench:
 	go test -run '^$$' -bench . -benchmem ./...
 
-# SEED=n ROUNDS=m goes deeper than CI does.
+# SEED=n ROUNDS=m runs more seeds and checks than CI does.
 proof:
 	@scripts/proof.sh
 
-# Random faults against the real node; docs/SOAK.md has the settings.
+# Runs marbleroad-node under random faults; docs/SOAK.md explains the variables.
 SEED ?= 1
 SEEDS ?= 50
 MINUTES ?= 0
@@ -42,11 +42,11 @@
 	go build -o bin/ ./cmd/marbleroad-node ./test/soak
 	bin/soak --seed $(SEED) --seeds $(SEEDS) --minutes $(MINUTES) --nodes $(NODES) --engines $(ENGINES) --plain $(PLAIN) --callers $(CALLERS)
 
-# Shows that each check of the soak sees what it is for.
+# Checks that each check of the soak detects the fault that it is meant for.
 soak-mutants:
 	@scripts/soak-mutants.sh
 
-# Takes each mechanism out in a copy and shows that its test fails.
+# Removes one mechanism at a time in a copy and checks that its test fails.
 mutants:
 	@scripts/mutants.sh
 
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Takes one mechanism after the other out of a scratch copy and runs a command there,
-# which plays the days to be compared: docs/LOAD.md has the table that came of it.
+# Removes one mechanism at a time in a copy of the tree and runs a command there that
+# simulates the days to be compared. docs/LOAD.md has the resulting table.
 #
 #   scripts/ablation.sh list
 #   scripts/ablation.sh DIR 'COMMAND' [NAME ...]
 #
-# COMMAND runs in DIR/NAME with the variable MECHANISM; "none" is the code as it is.
+# COMMAND runs in DIR/NAME with the variable MECHANISM set to NAME; "none" is the unchanged code.
 set -euo pipefail
 
-# A mechanism: name | file | what sed does to it.
+# Mechanisms: name | file | sed command that disables it.
 mechanisms() {
   cat <<'LIST'
 none|README.md|
@@ -44,7 +44,7 @@
   (cd "$top" && git ls-files -co --exclude-standard -z ':!journal' | xargs -0 tar cf - ) | tar xf - -C "$copy"
   if [ -n "$change" ]; then
     sed -i "$change" "$copy/$file"
-    if cmp -s "$copy/$file" "$top/$file"; then echo "$name: nothing changed in $file" >&2; exit 1; fi
+    if cmp -s "$copy/$file" "$top/$file"; then echo "$name: the sed command changed nothing in $file" >&2; exit 1; fi
   fi
   (cd "$copy" && go build ./... && MECHANISM=$name sh -c "$command" </dev/null)
 done
--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The demo on the users' platform: two nodes of marbleroad-node in two failure
-# domains before small stand-ins, on loopback IP numbers. Shows one streamed
-# model request and one plain call, and stays until Ctrl-C. With ONCE=1 it ends
-# after the two answers: exit code 0 if both came, 1 if not.
+# Demo of the users' platform: two marbleroad-node processes in two failure
+# domains with stand-ins for the platform, on loopback addresses. Sends one
+# streamed model request and one plain request, and runs until Ctrl-C. With
+# ONCE=1 it exits after the two responses: with 0 if both arrived, else with 1.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/processes.sh
@@ -42,21 +42,21 @@
 stream=(-header 'Api-Key: demo-forecasters' -header 'Model: nowcast' -body '{}' http://127.0.12.1:18227/bulletins/hail)
 plain=(http://127.0.13.1:18227/tiles/manifest)
 
-answers=0
-echo "== A streamed model request at 127.0.12.1:18227 (comes back while groups form)"
-for try in $(seq 40); do
-  if call "stream-$try" "${stream[@]}" >"$run/stream" 2>/dev/null; then
-    answers=1
+responses=0
+echo "== A streamed model request at 127.0.12.1:18227 (retried until a group is open)"
+for attempt in $(seq 40); do
+  if call "stream-$attempt" "${stream[@]}" >"$run/stream" 2>/dev/null; then
+    responses=1
     break
   fi
   sleep 0.5
 done
 cat "$run/stream"
 echo
-echo "== A plain call at 127.0.13.1:18227"
-for try in $(seq 40); do
-  if call "plain-$try" "${plain[@]}" >"$run/plain" 2>/dev/null; then
-    answers=$((answers + 1))
+echo "== A plain request at 127.0.13.1:18227"
+for attempt in $(seq 40); do
+  if call "plain-$attempt" "${plain[@]}" >"$run/plain" 2>/dev/null; then
+    responses=$((responses + 1))
     break
   fi
   sleep 0.5
@@ -64,18 +64,18 @@
 cat "$run/plain"
 echo
 echo
-echo "== What upstreams say of themselves (column condition)"
+echo "== Conditions that upstreams report (column condition)"
 "$bin/marbleroadctl" node upstreams --node 127.0.13.1:18355 | grep -E 'CONDITION|tiles'
 echo
-echo "== What was decided about the stream"
+echo "== Decisions about the stream"
 "$bin/marbleroadctl" explain --around 0s --log "$run/obuda-1.log" "$(grep -o '"request":"demo-stream-[0-9]*"' "$run/obuda-1.log" | tail -1 | cut -d'"' -f4)"
 echo
 echo "Callers:  http://127.0.12.1:18227 and http://127.0.13.1:18227, host demo.example"
 echo "Metrics:  http://127.0.12.1:18355/metrics"
 echo "Logs:     $run/*.log"
 if [ -n "${ONCE:-}" ]; then
-  [ "$answers" = 2 ]
+  [ "$responses" = 2 ]
   exit
 fi
-echo "Ctrl-C ends it."
+echo "Press Ctrl-C to stop."
 wait "${pids[0]}"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts two failure domains on loopback IP numbers, shows one model request
-# and one plain call, and stays until Ctrl-C. With ONCE=1 it ends after the
-# two answers: exit code 0 if both came, 1 if not.
+# Starts two failure domains on loopback addresses, sends one model request and
+# one plain request, and runs until Ctrl-C. With ONCE=1 it exits after the two
+# responses: with 0 if both arrived, else with 1.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/processes.sh
@@ -45,12 +45,12 @@
   start "$1-entry" "$bin/marbleroad-entry" run "$run/$1.ini"
 }
 
-until_ok() { # SECONDS COMMAND...: tries until it succeeds
-  local end=$((SECONDS + $1))
+until_ok() { # SECONDS COMMAND...: repeats the command until it succeeds
+  local deadline=$((SECONDS + $1))
   shift
   until "$@" >/dev/null 2>&1; do
-    if ((SECONDS >= end)); then
-      echo "demo: gave up waiting for: $*" >&2
+    if ((SECONDS >= deadline)); then
+      echo "demo: timed out waiting for: $*" >&2
       tail -n 5 "$run"/*.log >&2
       return 1
     fi
@@ -71,21 +71,21 @@
 done
 
 call() { "$bin/caller" -key demo-forecasters "$@"; }
-ask='{"model":"nowcast","stream":true,"messages":[{"role":"user","content":"Will it hail at Csepel?"}]}'
-# A group that serves somewhere is not yet one that this entry has seen, so the
-# wait is for what will be shown: an answer at the very addresses.
-until_ok 40 call -body "$ask" http://127.0.10.1:18080/v1/chat/completions
+request='{"model":"nowcast","stream":true,"messages":[{"role":"user","content":"Will it hail at Csepel?"}]}'
+# An entry may not know yet of a group that already serves, so this waits for
+# responses at the addresses that the demo uses.
+until_ok 40 call -body "$request" http://127.0.10.1:18080/v1/chat/completions
 until_ok 20 call http://127.0.11.2:18080/services/tiles/manifest
 
-answers=0
+responses=0
 echo
 echo "== A streamed model request at 127.0.10.1:18080"
-call -body "$ask" http://127.0.10.1:18080/v1/chat/completions | tee "$run/stream" || true
-grep -q '^data: \[DONE\]' "$run/stream" && answers=$((answers + 1))
+call -body "$request" http://127.0.10.1:18080/v1/chat/completions | tee "$run/stream" || true
+grep -q '^data: \[DONE\]' "$run/stream" && responses=$((responses + 1))
 echo
-echo "== A plain call at 127.0.11.2:18080"
+echo "== A plain request at 127.0.11.2:18080"
 call http://127.0.11.2:18080/services/tiles/manifest | tee "$run/plain" || true
-grep -q 'GET /manifest' "$run/plain" && answers=$((answers + 1))
+grep -q 'GET /manifest' "$run/plain" && responses=$((responses + 1))
 echo
 echo
 echo "== Status"
@@ -97,8 +97,8 @@
 echo "Metrics:   http://127.0.10.1:18081/metrics (entry), http://127.0.10.1:18071/metrics (control)"
 echo "Logs:      $run/*.log, spans: $run/*.trace"
 if [ -n "${ONCE:-}" ]; then
-  [ "$answers" = 2 ]
+  [ "$responses" = 2 ]
   exit
 fi
-echo "Ctrl-C ends it."
+echo "Press Ctrl-C to stop."
 wait "${pids[0]}"
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Shows that the tests see their mechanisms: each mutant takes one mechanism
-# out, in a copy of the tree, and the named test must fail. Prints one line per
-# mutant and ends with 1 if any survives. ONLY=text takes those whose name holds
-# the text.
+# Checks that the tests detect missing mechanisms: each mutant removes one
+# mechanism in a copy of the tree, and the named test must fail. Prints one line
+# per mutant and exits with 1 if any survives. ONLY=text runs those whose name
+# contains the text.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
@@ -41,389 +41,389 @@
 
 mutant "a VM not seen within the window counts as present" internal/groups/eligible.go \
   's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/' ./internal/groups TestEligibleAgainstOracle
-mutant "the same, with real processes, and the entry trusts it for ever" internal/groups/eligible.go \
+mutant "a VM not seen within the window counts as present, with real processes and no expiry at the entry" internal/groups/eligible.go \
   's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.Until\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
-mutant "a VM's word about its group is not asked for" internal/groups/eligible.go \
+mutant "the group that a VM reports is not checked" internal/groups/eligible.go \
   's/case probe\.Group != g\.ID[^:]*:/case false:/' ./internal/groups TestEligibleAgainstOracle
 mutant "a VM still in a group is taken as a spare" internal/groups/decide.go \
   's/ \|\| vm\.Group != ""//' ./internal/groups TestPlanKeepsInvariants
 mutant "a changed group keeps its generation" internal/groups/decide.go \
   's/g\.Generation = d\.next\.Version/_ = g/' ./internal/groups TestPlanKeepsInvariants
-mutant "a lost VM is replaced without a grace time" internal/groups/decide.go \
+mutant "a lost VM is replaced without a grace period" internal/groups/decide.go \
   's/return len\(inc\.lost\) == 0 \|\| inc\.shortestMissing >= d\.in\.Estimates\.GracePeriod/return true/' ./internal/groups TestFormsWaitsAndTakesSpare
 mutant "an older version is adopted" internal/item/item.go \
   's/if ok && old\.item\.Version >= it\.Version \{/if false {/' ./internal/item TestNeverReverts
-mutant "a deleted row stays in force" internal/view/view.go \
+mutant "a deleted row stays active" internal/view/view.go \
   's/cached\.row != nil && !cached\.row\.Deleted/cached.row != nil/' ./test/integration TestDeletedTeamStaysDeleted
-mutant "an edit on an old version is accepted" internal/control/apply.go \
+mutant "an edit of an outdated version is accepted" internal/control/apply.go \
   's/if e\.message\.GetForce\(\) \|\| base == version/if true || base == version/' ./test/integration TestLostRaceShowsBothValues
-mutant "a lost answer of a write counts as a failure" internal/control/apply.go \
+mutant "a lost response to a write counts as a failure" internal/control/apply.go \
   's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.confirmEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
 mutant "a fresh node is ready with a peer's table though the platform answers" internal/control/exchange.go \
   's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeThatMeetsOnlyAStalePeer
-mutant "a non-idempotent request goes out on a reused connection" internal/relay/sender.go \
+mutant "a non-idempotent request is sent on a reused connection" internal/relay/sender.go \
   's/transport = s\.single/_ = s.single/' ./internal/relay TestNoReplayOnReusedConnection
-mutant "what reached the upstream counts as not run" internal/relay/sender.go \
+mutant "a request that reached the upstream counts as not run" internal/relay/sender.go \
   's/v = verdict\.MayHaveRun\n/_ = v\n/' ./internal/relay TestVerdicts
-mutant "another request's answer is passed on" internal/relay/sender.go \
+mutant "a misdirected response is forwarded" internal/relay/sender.go \
   's/if echo != o\.RequestID && \(/if false \&\& echo != o.RequestID \&\& (/' ./internal/relay TestVerdicts
-mutant "events out of sequence are passed on" internal/relay/stream.go \
+mutant "events out of sequence are forwarded" internal/relay/stream.go \
   's/case ev\.id == s\.last\+1:/case true:/' ./internal/relay TestStreamKeepsSequence
 mutant "a broken stream is not resumed" internal/entry/forward.go \
   's/maxResumes = 3/maxResumes = 0/' ./test/integration TestBrokenStreamIsResumed
-mutant "a stream that breaks ends without an event" internal/entry/forward.go \
+mutant "a broken stream ends without an error event" internal/entry/forward.go \
   's/_, _ = w\.Write\(errorEvent\(c\.id, fault\)\)\n\t_ = control\.Flush\(\)\n\ts\.failed\(c, fault\)\n\treturn nil/s.failed(c, fault)\n\treturn nil/' ./test/integration TestUpstreamDiesInTheMiddle
-mutant "a conflicting ledger write counts as done" internal/ledger/ledger.go \
+mutant "a conflicting ledger write counts as stored" internal/ledger/ledger.go \
   's/case err == nil:\n\t\tc\.bucket = next/case err == nil, errors.Is(err, platform.ErrConflict):\n\t\tc.bucket = next/' ./internal/ledger TestAtMostOnce
-mutant "a request goes out though its key could not be written" internal/entry/dispatch.go \
+mutant "a request is sent although its key was not stored" internal/entry/dispatch.go \
   's/if err != nil \{\n\t\tc\.trail\.add\("ledger: %v", err\)/if false {\n\t\tc.trail.add("ledger: %v", err)/' ./test/integration TestPlatformDownRefusesKeyedRequestsAsNotRun
-mutant "a key that has begun is begun again" internal/ledger/ledger.go \
+mutant "a request whose key is already in progress is sent again" internal/ledger/ledger.go \
   's/case found && old\.Stage != Released:/case false:/' ./internal/ledger TestAtMostOnce
 mutant "a caller's request ID names the attempt" internal/entry/dispatch.go \
   's/attempt := newRequestID\(\)/attempt := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
-mutant "a leaving VM gets work" internal/view/view.go \
+mutant "a leaving VM receives requests" internal/view/view.go \
   's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
-mutant "a drain is not held while the platform is down" internal/control/drain.go \
+mutant "a drain is not kept while the platform is down" internal/control/drain.go \
   's/\tk\.publishPendingDrain\(order\)\n\tk\.parts/\tk.parts/' ./test/integration TestLeavingUpstreamWhilePlatformIsDown
-mutant "a stop does not wait for answers in flight" internal/entry/server.go \
+mutant "a stop does not wait for responses in flight" internal/entry/server.go \
   's/case <-done:\n\tcase <-limit\.C:/case <-time.After(0):\n\tcase <-limit.C:/' ./test/integration TestGracefulShutdownCutsNothing
 mutant "a stop does not wait for outcomes to be stored" internal/entry/server.go \
   's/\ts\.ledger\.Flush\(closing\)\n//' ./test/integration TestShutdownStoresOutcomes
-mutant "what was known of a VM's former life goes on" internal/director/lives.go \
+mutant "the state of a VM's previous incarnation is kept" internal/director/lives.go \
   's/\ts\.resetIncarnation\(now, v, vm, vm\.Born\)\n/\tv.born = vm.Born\n/' ./internal/director TestVMRestartsUnderItsID
-mutant "a former life's late report counts" internal/director/lives.go \
+mutant "a late report of a previous incarnation counts" internal/director/lives.go \
   's/case v\.born != 0 && m\.requestedAt\.Before\(v\.entrySeenAt\):\n\t\treturn false\n//' ./internal/director TestVMRestartsUnderItsID
-mutant "a former life's late entry counts" internal/director/lives.go \
+mutant "a late entry of a previous incarnation counts" internal/director/lives.go \
   's/case v\.born != 0 && v\.entry != nil.*\n\t\treturn false\n//' ./internal/director TestNewIncarnationIsReportedByVM
-mutant "requests at a former life are waited for" internal/gateway/board.go \
+mutant "requests at a previous incarnation are not canceled" internal/gateway/board.go \
   's/s\.cancel\(errRestarted\)/_ = s/' ./internal/gateway TestRequestsAtRestartedVMAreCanceled
 mutant "an older entry counts" internal/fleet/directory.go \
   's/return vm\.Revision != 0 && vm\.Revision < d\.revisions\[vm\.ID\]/return false/' ./internal/fleet TestOlderEntryChangesNothing
-mutant "a faulty entry is passed over" internal/fleet/directory.go \
+mutant "an invalid entry is ignored" internal/fleet/directory.go \
   's/return d\.drop\(id\)\n\}\n\n\/\/ isOlder/return false\n}\n\n\/\/ isOlder/' ./internal/fleet TestInvalidEntryDropsVM
-mutant "an unknown state is in service" platform/entry.go \
+mutant "an unknown state counts as serving" platform/entry.go \
   's/\(\*e\.State != stateReady && \*e\.State != stateDraining\)/false/' ./platform TestEntriesOfOtherWriters
-mutant "a place in a group has no bound" platform/entry.go \
+mutant "a rank has no upper limit" platform/entry.go \
   's/ \|\| g\.Rank > mostRank//' ./platform TestEntriesOfOtherWriters
 mutant "an unreadable object fails its page" platform/store.go \
   's/out\.fault = errors\.Wrap\(err, "decode object"\)/panic(err)/' ./platform TestUnreadableObjectHidesNoOther
-mutant "a member is summed up for the one who asks" internal/cluster/sum.go \
+mutant "a hub reports a member's state back to that member" internal/cluster/sum.go \
   's/m\.state\.GetNode\(\) != exclude/true/' ./internal/cluster TestStateOfOneNodeReachesAll
 mutant "a lost hub is not replaced" internal/cluster/topology.go \
   's/return t\.excluded\[r\.ID\]/return false/' ./internal/cluster TestLostHubsAreReplaced
-mutant "a hub does not name those who manage groups" internal/cluster/sum.go \
+mutant "a hub does not list the nodes that manage groups" internal/cluster/sum.go \
   's/ && len\(m\.state\.GetDirecting\(\)\) == 0//' ./internal/cluster TestClaimsAndFirstNodesAreKnown
-mutant "directors decide by the same counts" internal/director/place.go \
+mutant "directors do not predict each other's group counts" internal/director/place.go \
   's/in\.Groups = s\.predictGroupCounts\(/_ = s.predictGroupCounts(/' ./internal/director TestDirectorsDoNotOscillate
-mutant "a pass that reads counts as silence" internal/gateway/stalls.go \
+mutant "a prefill pass counts as a stall" internal/gateway/stalls.go \
   's/minSilence := max\(minStall, .*/minSilence := minStall/' ./internal/gateway TestOneStreamAtABusyHead
-mutant "a first event is not waited for by its prediction" internal/gateway/stalls.go \
+mutant "the stall timeout ignores the predicted time to the first event" internal/gateway/stalls.go \
   's/firstFactor\*longest/0*longest/' ./internal/gateway TestOneStreamAtABusyHead
-mutant "a leader's watch waits for long" internal/feed/feed.go \
+mutant "a leader's watch has a long timeout" internal/feed/feed.go \
   's/return min\(maxWait, leaderWait\)/return maxWait/' ./internal/feed TestLeaderVerificationStaysRecent
-mutant "a first configuration is asked for again and again" internal/catalog/keeper.go \
+mutant "a missing first configuration is polled without a pause" internal/catalog/keeper.go \
   's/ && w\.Revision > 0:/ \&\& false:/' ./internal/catalog TestFirstConfigurationIsWaitedFor
-mutant "followers press a store that is away" internal/feed/feed.go \
+mutant "followers do not back off from an unreachable store" internal/feed/feed.go \
   's/if now\.Before\(p\.backoffUntil\) && /if false \&\& /' ./internal/feed TestFollowersBackOffFromUnreachableStore
-mutant "a hub takes no note of nodes that exchange with all" internal/cluster/share.go \
+mutant "a hub does not record nodes that exchange with all others" internal/cluster/share.go \
   's/\t\t\tp\.State, p\.LastSeen = state, now\n//; s/maxKnownNodes: c\.maxKnownNodes, //' ./internal/cluster TestNodesThatCountDifferently
-mutant "a group whose head has not reported yet is broken up" internal/director/dissolve.go \
+mutant "a group whose head has not reported yet is dissolved" internal/director/dissolve.go \
   's/case gs\.headVM == nil && now\.Sub\(gs\.firstSeen\) <= orphanTimeout:.*?\t\treturn\n//s' ./internal/director TestGroupWhoseHeadHasNotReported
-mutant "a group that is whole again counts as short" internal/director/watch.go \
+mutant "a complete group still counts as incomplete" internal/director/watch.go \
   's/if !gs\.incompleteSince\.IsZero\(\) && s\.completeAgain/if false \&\& s.completeAgain/' ./internal/director TestGroupWhoseHeadHasNotReported
-mutant "a head breaks by what was before it was opened" internal/director/dissolve.go \
+mutant "losses before a head was opened count against it" internal/director/dissolve.go \
   's/since = gs\.openSince/_ = since/' ./internal/director TestHeadOpenedAfterAMemberLeft
 mutant "a head is opened though a member has left" internal/director/groups.go \
   's/case !gs\.incompleteSince\.IsZero\(\):\n\t\ts\.startDissolving.*?\n//' ./internal/director TestHeadOpenedAfterAMemberLeft
 mutant "a share rises at once" internal/quota/damper.go \
   's/minShare = min\(minShare, s\.share\)/_ = s/' ./test/policy/bench TestLimitsAcrossEntries
-mutant "the urgent wait behind the rest" internal/admission/queue.go \
+mutant "urgent requests wait behind the others" internal/admission/queue.go \
   's/for p := priorities - 1; p >= 0; p--/for p := 0; p < priorities; p++/' ./test/policy/bench TestFlood
-mutant "operators need no token" internal/control/operator.go \
+mutant "operator calls need no token" internal/control/operator.go \
   's/if !k\.operatorAllowed\(r\.Header\) \{/if false {/' ./test/integration TestWithoutCredentialsNothingIsGiven
-mutant "peers need no certificate" internal/transport/transport.go \
+mutant "peer connections need no certificate" internal/transport/transport.go \
   's/tls\.RequireAndVerifyClientCert/tls.NoClientCert/' ./test/integration TestMutualTLS
 
 # The gateway, the director and the adapter.
-mutant "another request's answer is passed on" platform/upstream.go \
+mutant "a misdirected response is forwarded" platform/upstream.go \
   's/echoed != requestID && \(echoed != "" \|\| !refused\)/echoed != requestID \&\& false/' ./internal/gateway 'TestNonIdempotentIsSentOnce|TestStreamContinuesAtAnotherHead'
-mutant "a failed non-idempotent request goes out again" internal/gateway/attempt.go \
+mutant "a failed non-idempotent request is repeated" internal/gateway/attempt.go \
   's/failure\.Verdict != verdict\.NotRun && !j\.c\.Route\.Repeatable\(\)/false/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a request that may have run is answered 503" internal/gateway/attempt.go \
   's/if j\.mayHaveRun > 0 && failure\.Verdict == verdict\.NotRun/if false/; s/if failure\.Verdict != verdict\.NotRun \&\& failure\.Status == http\.StatusServiceUnavailable/if false/; s/Verdict: verdict\.MayHaveRun, Status: http\.StatusBadGateway/Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable/; s/j\.handleFailure\(ctx, s, verdict\.As\(err\)\)/j.handleFailure(ctx, s, \&verdict.Error{Verdict: verdict.NotRun, Status: 503, Code: "x"})/' ./internal/gateway TestNonIdempotentIsSentOnce
 mutant "a cut stream ends well" internal/gateway/handle.go \
   's/if failure\.Code == codeAborted \{/if failure.Code == codeAborted {\n\t\treturn/' ./internal/gateway TestTruncatedStreamNeverLooksComplete
-mutant "a stream goes on with the wrong event" internal/gateway/attempt.go \
+mutant "a stream is resumed at the wrong event" internal/gateway/attempt.go \
   's/a\.LastEvent = j\.out\.lastEventID/a.LastEvent = "5"/' ./internal/gateway TestStreamContinuesAtAnotherHead
-mutant "a stalled head is waited for" internal/gateway/server.go \
+mutant "requests at a stalled head are not moved" internal/gateway/server.go \
   's/sent\.cancel\(cause\)/_ = sent/' ./internal/gateway TestStreamContinuesAtAnotherHead
-mutant "a silent stream is ended with nowhere to go" internal/gateway/server.go \
+mutant "a stalled stream is canceled without an alternative" internal/gateway/server.go \
   's/if s\.targets\.reserve\(now, sent, s\.nodes\(\)\)/s.targets.reserve(now, sent, s.nodes())\n\t\tif true/' ./internal/gateway TestSilentStreamWithoutAlternativeContinues
-mutant "a slow call is ended with nowhere to go" internal/gateway/server.go \
+mutant "a slow call is canceled without an alternative" internal/gateway/server.go \
   's/if s\.targets\.reserve\(now, sent, s\.nodes\(\)\)/s.targets.reserve(now, sent, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowCallWithoutAlternativeCompletes
-mutant "a node blames heads for its own standstill" internal/gateway/heldup.go \
+mutant "a paused node counts its own pause as stalls of heads" internal/gateway/heldup.go \
   's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' ./test/integration TestPausedNodeBlamesNoHead
-mutant "a VM is lost though nobody answers" internal/director/reference.go \
+mutant "a VM counts as lost although no VM responds" internal/director/reference.go \
   's/if gs := s\.groups\[vm\.Group\]; gs == nil \|\| gs\.reference == nil/if true/' ./internal/director TestDirectorWithoutResponsesMarksNoVMLost
-mutant "a silence of all heads blames each" internal/gateway/stalls.go \
+mutant "simultaneous silence of all heads counts as stalls" internal/gateway/stalls.go \
   's/return heads > 1/return false/' ./internal/gateway TestAllHeadsSilentAtOnce
-mutant "a closing head has six seconds" internal/director/dissolve.go \
+mutant "a closing head has a fixed timeout" internal/director/dissolve.go \
   's/return max\(minCloseTime, svc\.LongestTimeout\+closeMargin\)/return minCloseTime/' ./internal/director TestClosingHeadFinishesItsWork
-mutant "a closing head is closed since it was first seen" internal/director/groups.go \
+mutant "the timeout of a closing head starts when the group was first seen" internal/director/groups.go \
   's/now\.Sub\(gs\.closingSince\)/now.Sub(gs.firstSeen)/' ./internal/director TestSuccessorLetsAClosingHeadFinish
-mutant "a second stop signal ends the waiting" internal/daemon/daemon.go \
+mutant "a second stop signal terminates the process at once" internal/daemon/daemon.go \
   's/if s == syscall\.SIGINT/if true/' ./test/integration 'TestRepeatedSignalsCutNothing|TestRepeatedStopSignalsOfAnEntryCutNothing'
-mutant "a stop closes connections without a request at once" internal/callers/listener.go \
+mutant "a stop closes idle connections without a linger time" internal/callers/listener.go \
   's/return l\.linger, true/return 0, true/' ./internal/gateway 'TestRequestsReadDuringStopAreAnswered|TestStreamFromBeforeStopKeepsConnection'
-mutant "a limit does not look whether a request came" internal/callers/conn.go \
+mutant "a connection limit ignores a request that was read" internal/callers/conn.go \
   's/if c\.changes != change \|\| c\.headWhole\(\)/if false/; s/if c\.expired \{\n\t\treturn false/if false {\n\t\treturn false/' ./internal/callers TestLimitSparesARequestThatWasRead
-mutant "a limit does not wait for the reader" internal/callers/conn.go \
+mutant "a connection limit ignores a request that waits to be read" internal/callers/conn.go \
   's/if waiting, _ := c\.peek\(\); waiting/if false/' ./internal/callers TestLimitSparesARequestThatWaits
-mutant "an answer in a stop does not say so" internal/gateway/handle.go \
+mutant "a response during a stop lacks Connection: close" internal/gateway/handle.go \
   's/w\.Header\(\)\.Set\("Connection", "close"\)/_ = w/' ./internal/gateway TestRequestsReadDuringStopAreAnswered
-mutant "a request that a stop would cut is begun" internal/gateway/stopping.go \
+mutant "a request that would outlast a stop is started" internal/gateway/stopping.go \
   's/if stopDeadline == nil/if true/' ./internal/gateway TestRequestLongerThanStopIsRejected
-mutant "keys are honoured without a proof" internal/gateway/handle.go \
+mutant "keys are accepted without a verified catalog" internal/gateway/handle.go \
   's/s\.config\.RevokeBound > 0 && c\.CatalogAge > s\.config\.RevokeBound/false/' ./internal/gateway TestKeysNeedVerifiedCatalog
 mutant "an older configuration is adopted" internal/catalog/keeper.go \
   's/c\.version <= old\.version/c.version < 0 \&\& old.version < 0/' ./internal/catalog TestVersionNeverFalls
-mutant "the configuration is watched from its last change" platform/configuration.go \
+mutant "the configuration is watched from the revision of its last change" platform/configuration.go \
   's/return next, revision, err/revision = o.Metadata.Rev\n\t\t\treturn next, revision, err/' ./platform TestWatchAfterForgottenHistory
-mutant "the key is passed on" platform/upstream.go \
+mutant "the caller's key is forwarded to the upstream" platform/upstream.go \
   's/headerKey, headerTeam, headerExpectVM/headerTeam, headerExpectVM/' ./internal/gateway TestTargetAndHeaders
 mutant "a leaving VM is still a target" internal/gateway/board.go \
   's/ \|\| vm\.Draining//' ./internal/gateway TestLeavingVMGetsNoNewRequests
-mutant "the target is cleaned" internal/relay/sender.go \
+mutant "the request target is normalized" internal/relay/sender.go \
   's/err == nil && u\.RequestURI\(\) == path && u\.Host == address/err == nil/' ./internal/gateway TestTargetAndHeaders
-mutant "VMs of an outage are gone at once" internal/fleet/outage.go \
+mutant "VMs missing after an outage are removed at once" internal/fleet/outage.go \
   's/return now\.Before\(o\.retainUntil\)/return false/' ./internal/fleet TestMissingAfterOutage
 mutant "a VM joins though it is in another group" internal/director/groups.go \
   's/m\.Group != f\.name && !s\.released\(m\.Group\)/false/' ./internal/director TestMemberInAnotherGroup
-mutant "members of a silent head are free after the stall bound" internal/director/dissolve.go \
+mutant "members of an unresponsive head are freed after the stall bound" internal/director/dissolve.go \
   's/return !gs\.incompleteSince\.IsZero\(\) \&\& now\.Sub\(since\) > minWait/return !gs.headMissingSince.IsZero() \&\& now.Sub(gs.headMissingSince) > minWait/' ./internal/director 'TestUnreachableHeadKeepsServing|TestRandomFaults'
 mutant "a member that left frees the others at once" internal/director/dissolve.go \
   's/now\.Sub\(since\) > minWait/true/' ./internal/director 'TestUnreachableHeadKeepsServing|TestRandomFaults'
-mutant "a member without entry is lost unasked" internal/director/groups.go \
+mutant "a member without an entry counts as lost without a probe" internal/director/groups.go \
   's/case entry == nil \&\& s\.confirmsMembership\(now, member, name\):\n//' ./internal/director TestMemberPartitionedFromStore
-mutant "remains of groups count as supply" internal/director/place.go \
+mutant "incomplete groups count as supply" internal/director/place.go \
   's/ \&\& s\.countsAsSupply\(g\)//' ./internal/director TestIncompleteGroupIsNotSupply
-mutant "a group that is taken apart gets requests" internal/gateway/choose.go \
+mutant "a dissolving group receives requests" internal/gateway/choose.go \
   's/ \|\| tt\.dissolving\[t\.group\]//' ./internal/gateway TestDissolvingGroupGetsNoRequests
-mutant "a doubted head gets all requests" internal/gateway/choose.go \
+mutant "an unresponsive head receives all requests" internal/gateway/choose.go \
   's/candidate\.target\.unresponsiveCount > 0 \&\& candidate\.target\.localInFlight > 0/false/' ./internal/gateway TestUnresponsiveHeadGetsOneRequest
-mutant "a lost answer is waited for" internal/gateway/stalls.go \
+mutant "a lost response is waited for" internal/gateway/stalls.go \
   's/now\.Sub\(s\.lastActivity\) > tt\.lostAfter\(s\)/false/' ./internal/gateway TestLostResponseAtActiveHead
-mutant "a silent leader is followed on" internal/feed/feed.go \
+mutant "an unresponsive leader is still followed" internal/feed/feed.go \
   's/l\.failedUntil\[leader\.ID\] = now\.Add\(failureBackoff\)//; s/q\.wait\+responseMargin/time.Hour/; s/q\.wait\+maxTransfer/time.Hour/' ./internal/feed TestUnresponsiveLeader
-mutant "a leader out of touch is followed" internal/feed/feed.go \
+mutant "a disconnected leader is followed" internal/feed/feed.go \
   's/err == nil \&\& age > q\.maxAge/false/' ./internal/feed TestDisconnectedLeader
-mutant "idle connections stay" internal/callers/conn.go \
+mutant "idle connections are not closed" internal/callers/conn.go \
   's/state == http\.StateIdle/state == http.StateHijacked/' ./internal/callers TestIdleConnectionIsClosed
-mutant "an unanswered join counts as not sent" internal/director/groups.go \
+mutant "a join without a response counts as not sent" internal/director/groups.go \
   's/f\.joinSent\[id\] = true\n//' ./internal/director TestUnansweredJoinIsUnconfirmed
 mutant "a head opens before all are ready" internal/director/groups.go \
   's/allReady = allReady && \(m\.State == fleet\.Ready \|\| m\.State == fleet\.Open\)//' ./internal/director TestRandomFaults
 mutant "a leave does not count as accepted" internal/director/answers.go \
   's/m\.started \|\| m\.order\.Operation == engine\.Leave/m.started/' ./internal/director TestLeaveCounts
-mutant "credits for repeats don't end" internal/retry/budget.go \
+mutant "credits for repeats do not expire" internal/retry/budget.go \
   's/b\.earned\[b\.current%buckets\] = 0//' ./internal/retry TestCreditsExpireAfterOneWindow
-mutant "a request earns its whole ratio at once" internal/retry/budget.go \
+mutant "a request earns its full ratio at once" internal/retry/budget.go \
   's/b\.limit\.Ratio \/ windowsPerCredit/b.limit.Ratio/' ./internal/retry TestSavedCreditsKeepToTheLimit
-mutant "a new life has its fixed part at once" internal/retry/budget.go \
+mutant "a new incarnation has its fixed budget at once" internal/retry/budget.go \
   's/fixedAt: now\}/fixedAt: now.Add(-l.Window)}/' ./internal/retry TestLimitHoldsAcrossRestarts
-mutant "a new node takes itself for the only one" internal/cluster/cluster.go \
+mutant "a new node counts itself as the only node" internal/cluster/cluster.go \
   's/if c\.recordsAt\.Load\(\) == nil \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/cluster TestNodesAreNotCountedBeforeTheyAreKnown
-mutant "net/http sends requests again" internal/relay/sender.go \
+mutant "net/http replays requests" internal/relay/sender.go \
   's/\tneverReplayed\(req\)\n/\tif o.Once {\n\t\treq.GetBody = nil\n\t}\n/' ./internal/relay TestNoRequestIsSentTwiceUnseen
 mutant "a stale connection is a failure" internal/relay/sender.go \
   's/return w\.reused \&\& /return false \&\& /' ./internal/relay TestStaleConnectionIsReplaced
-mutant "missing entries are kept from the first answer on" internal/fleet/outage.go \
+mutant "missing entries are retained from the first response on" internal/fleet/outage.go \
   's/o\.retainUntil = o\.failedAt\.Add/o.retainUntil = time.Now().Add/; s/recoveryTime \+ probeInterval/2500 * time.Millisecond/' ./internal/fleet 'TestVMThatLeavesAfterAnOutage|TestExpiredEntryThatStaysMissing'
-mutant "the first watch after an outage waits for news" internal/fleet/directory.go \
+mutant "the first watch after an outage waits for a change" internal/fleet/directory.go \
   's/if d\.disconnected \{\n\t\treturn 0/if false {\n\t\treturn 0/' ./internal/fleet 'TestExpiredEntryIsRetained|TestExpiredEntryThatStaysMissing'
-mutant "missing VMs are looked at when a watch ends" internal/fleet/directory.go \
+mutant "missing VMs are only checked when a watch ends" internal/fleet/directory.go \
   's/if len\(d\.missing\) == 0 \{\n\t\treturn limit/if true {\n\t\treturn limit/' ./internal/fleet TestExpiredEntryThatStaysMissing
-mutant "a watch of the list waits for three seconds" internal/fleet/directory.go \
+mutant "a watch of the list has a timeout of three seconds" internal/fleet/directory.go \
   's/const WatchWait = 1500 \* time\.Millisecond/const WatchWait = 3 * time.Second/' ./internal/fleet TestVMThatLeavesAfterAShortPartition
-mutant "a follower keeps missing entries once more" internal/fleet/directory.go \
+mutant "a follower retains removed entries a second time" internal/fleet/directory.go \
   's/case c\.Removed \&\& relayed:/case false:/' ./internal/fleet TestRelayedRemovalTakesEffectAtOnce
-mutant "silent connections to the store are tried in turn" platform/store.go \
+mutant "unresponsive connections to the store are retried one after the other" platform/store.go \
   's/s\.http\.CloseIdleConnections\(\)//g' ./platform TestSilentConnectionsAreLeftTogether
 mutant "a length beside chunks is taken" internal/gateway/framing.go \
   's/if !known \|\| len\(r\.TransferEncoding\) == 0/if known || true/' ./internal/gateway TestAmbiguousLengthIsRefused
-mutant "an entry keeps the connection of a request in chunks" internal/entry/server.go \
+mutant "an entry reuses the connection of a chunked request" internal/entry/server.go \
   's/if len\(r\.TransferEncoding\) > 0/if false/' ./internal/entry TestNothingHiddenBehindChunksIsServed
-mutant "silent nodes count until another is heard" internal/gateway/choose.go \
+mutant "unresponsive nodes count until another node reports" internal/gateway/choose.go \
   's/tt\.dropExpiredPeers\(now\)//' ./internal/gateway TestLoadsOfSilentNodesExpire
-mutant "free VMs are never kept" internal/placement/placement.go \
+mutant "no free VMs are reserved" internal/placement/placement.go \
   's/if !ok \|\| d\.reserveFree\(m\)/if !ok/' ./internal/placement TestFreeVMsAreKept
 
 mutant "a first event is not predicted" internal/batch/batch.go \
   's/return e\.Slots > 0/return false \&\& e.Slots > 0/' ./internal/gateway TestBurstIsServedInTime
 mutant "the offset is not learned" internal/batch/offset.go \
   's/if elapsed > predicted\+o\.value/if false/' ./internal/batch TestOffsetFollowsLateFirstEvents
-mutant "late requests are taken like others" internal/batch/admit.go \
+mutant "requests that cannot meet their deadline are admitted" internal/batch/admit.go \
   's/return load\.InFlight < e\.Slots \&\& e\.TimeToFirstEvent/return true || e.TimeToFirstEvent/' ./internal/batch TestAdmit
-mutant "less urgent requests are taken like others" internal/batch/admit.go \
+mutant "less urgent requests use the reserve" internal/batch/admit.go \
   's/r\.Reserved \* float64/0 * float64/' ./internal/batch TestAdmit
-mutant "callers that come back are taken for new ones" internal/gateway/patience.go \
+mutant "retries are counted as new requests" internal/gateway/patience.go \
   's/return m\.typical - timeout/return 0/' ./internal/gateway TestRetriesAreRecognizedByTimeout
-mutant "a request is sent for a caller that left" internal/gateway/attempt.go \
+mutant "a request of a disconnected caller is sent" internal/gateway/attempt.go \
   's/if callers\.ClosedByCaller\(j\.r\)/if false \&\& callers.ClosedByCaller(j.r)/' ./internal/gateway TestCallersThatLeftWhileNodeWasStalled
-mutant "a request that is given up is delivered later" internal/relay/sender.go \
+mutant "an abandoned request is delivered later" internal/relay/sender.go \
   's/c\.unanswered\.Store\(true\)//' ./internal/relay TestGivenUpRequestIsTakenBack
-mutant "overload is told as nothing that serves" internal/gateway/choose.go \
+mutant "overload is reported as a missing upstream" internal/gateway/choose.go \
   's/case sel\.full:/case false:/' ./internal/gateway TestFullHeadsBesideASuspectedOneAreOverload
-mutant "sampled heads are of any failure domain" internal/gateway/choose.go \
+mutant "sampled heads ignore the failure domain" internal/gateway/choose.go \
   's/if tt\.sample == 0 \{\n\t\treturn all/if true {\n\t\treturn all/' ./internal/gateway TestSampledHeadsPreferOwnDomain
-mutant "a slow plain upstream gets as much as others" internal/gateway/predict.go \
+mutant "a slow plain upstream receives as many requests as others" internal/gateway/predict.go \
   's/if t\.group != "" \|\|/if true ||/' ./internal/gateway TestSlowPlainUpstreamTakesLess
-mutant "a failed leader leaves no other" internal/feed/feed.go \
+mutant "no other leader is tried after a failed one" internal/feed/feed.go \
   's/maxLeaders = 3/maxLeaders = 1/' ./internal/feed TestNextLeaderIsFollowed
 mutant "a follower reads new configurations itself" internal/feed/catalog.go \
   's/if next\.GetVersion\(\) > known \{/if next.GetVersion() > known {\n\t\treturn c.watch(ctx, revision, 0)\n\t}\n\tif false {/' ./internal/feed TestFollowerAdoptsNewConfiguration
-mutant "tries after a failure don't slow down" internal/wait/backoff.go \
+mutant "attempts after a failure do not back off" internal/wait/backoff.go \
   's/b\.failures\+\+//' ./internal/wait TestBackoffGrowsToItsBound
 
-mutant "made-up models are counted" internal/gateway/demand.go \
+mutant "unknown models are tracked" internal/gateway/demand.go \
   's/if !tt\.servesModel\(c\)/if false/' ./internal/gateway TestUnknownNamesLeaveNoState
 
-mutant "ends are not counted together" internal/quarantine/record.go \
+mutant "terminations of merged records are not added up" internal/quarantine/record.go \
   's/r\.Terminations = slices\.Insert\(r\.Terminations, at, e\)/r.Terminations = slices.Insert(r.Terminations[:0], at*0, e)/' ./internal/quarantine TestTerminationsOfMergedTablesAddUp
-mutant "two ends are enough" internal/quarantine/record.go \
+mutant "two terminations suffice for quarantine" internal/quarantine/record.go \
   's/terminationsToQuarantine = 3/terminationsToQuarantine = 2/' ./internal/quarantine TestVerdicts
-mutant "company does not matter" internal/quarantine/table.go \
+mutant "a request that is not the only suspect is quarantined" internal/quarantine/table.go \
   's/if onlySuspect \&\& /if /' ./internal/quarantine TestVerdicts
-mutant "an answer clears nothing" internal/quarantine/record.go \
+mutant "a response clears no suspect" internal/quarantine/record.go \
   's/r\.ClearedAt = at\n/_ = at\n\treturn true\n/' ./internal/quarantine 'TestVerdicts|TestMergesConverge'
 mutant "a request in quarantine is sent" internal/gateway/suspects.go \
   's/case j\.c\.quarantineVerdict\.Quarantined > 0:/case false:/' ./internal/gateway TestCrashingRequestIsQuarantined
-mutant "ends of upstreams are attempts" internal/gateway/suspects.go \
+mutant "terminations of upstreams count as attempts" internal/gateway/suspects.go \
   's/j\.terminated\+\+\n/_ = j.terminated\n/' ./internal/gateway TestRequestSurvivesUpstreamCrashes
 mutant "the table is not bounded" internal/quarantine/table.go \
   's/t\.bound\(maxConfirmed/t.bound(1<<30/' ./internal/quarantine TestTableIsBounded
-mutant "news are not told" internal/quarantine/gossip.go \
+mutant "quarantine updates are not sent" internal/quarantine/gossip.go \
   's/for _, r := range records \{\n\t\tout\.Records/for _, r := range records[:0] {\n\t\tout.Records/' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
-mutant "what was missed is not told anew" internal/quarantine/gossip.go \
+mutant "missed quarantine updates are not sent again" internal/quarantine/gossip.go \
   's/if differs \&\& /if false \&\& /' ./internal/cluster TestRequestInQuarantineIsKnownEverywhere
-mutant "what others told is passed on to all" internal/quarantine/gossip.go \
+mutant "received quarantine records are forwarded to all nodes" internal/quarantine/gossip.go \
   's/p\.requestChange, maxMessageRecords, relay/p.requestChange, maxMessageRecords, relay || true/' ./internal/cluster TestManyCrashesSendBoundedRecords
-mutant "the store is not read at the start" internal/quarantine/archive.go \
+mutant "the quarantine archive is not read at startup" internal/quarantine/archive.go \
   's/if !firstRead \&\& !a\.reads\(\)/if firstRead || !a.reads()/' ./internal/quarantine TestQuarantineSurvivesRestartOfAllNodes
-mutant "what the store holds is not taken" internal/quarantine/archive.go \
+mutant "records of the quarantine archive are not merged" internal/quarantine/archive.go \
   's/a\.table\.Merge\(a\.now\(\), records\)/_ = records/' ./internal/quarantine TestPartitionedNodesMergeThroughStore
-mutant "the store is asked every second" internal/quarantine/archive.go \
+mutant "the quarantine archive is polled every second" internal/quarantine/archive.go \
   's/watchTimeout = 10 \* time\.Second/watchTimeout = time.Second/' ./internal/quarantine TestArchiveMakesFewCalls
-mutant "each answer that is told is news" internal/quarantine/record.go \
+mutant "a known response counts as an update" internal/quarantine/record.go \
   's/hasTerminations := len\(r\.Terminations\) > 0 \&\& !r\.Terminations\[0\]\.At\.After\(at\)/hasTerminations := len(r.Terminations) == 0/' ./internal/quarantine TestMergesConverge
-mutant "a hanging watch is waited for" internal/quarantine/archive.go \
+mutant "a hanging watch is not canceled" internal/quarantine/archive.go \
   's/\(\*cancel\)\(\)/_ = cancel/' ./internal/quarantine TestRefreshCancelsHangingWatch
-mutant "a suspension does not count" internal/clock/clock.go \
+mutant "the clock ignores suspensions" internal/clock/clock.go \
   's/return now\.Add\(Suspended\(\)\)/return now/' ./internal/gateway 'TestKeysExpireDuringSuspension|TestTimeLeftAfterSuspension'
-mutant "only members are named as leading" internal/cluster/share.go \
+mutant "only members are listed as leaders" internal/cluster/share.go \
   's/for id, p := range c\.known \{\n\t\t_, member/for id, p := range map[string]*peer(nil) {\n\t\t_, member/' ./internal/cluster TestNodesThatCountDifferently
 
 mutant "each node reads the whole list" internal/feed/firstread.go \
   's/if !ranked \{/if !ranked || rank >= 0 {/' ./internal/feed TestAllNodesStartAtOnce
 mutant "each node reads the whole configuration" internal/feed/firstread.go \
   's/if !ranked \{/if !ranked || rank >= 0 {/' ./internal/feed TestLargeConfigurationAtARestartOfAllNodes
-mutant "a reader that the platform refuses asks nobody" internal/feed/firstread.go \
+mutant "a reader that the platform refuses queries no other node" internal/feed/firstread.go \
   's/if otherErr == nil \{/if otherErr == nil \&\& false {/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
-mutant "nobody reads for readers that are cut off" internal/feed/picker.go \
+mutant "no other node reads for disconnected readers" internal/feed/picker.go \
   's/maxReaders   = 16/maxReaders   = 4/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
-mutant "a silent source is waited for" internal/feed/picker.go \
+mutant "an unresponsive source is not hedged" internal/feed/picker.go \
   's/hedgeDelay        = 600/hedgeDelay = 60000/; s/connectHedgeDelay = 200/connectHedgeDelay = 60000/' ./internal/feed TestUnavailableReadersDoNotDelayOthers
-mutant "what came since an old list is left out" internal/feed/fleet.go \
+mutant "changes since an old list are omitted" internal/feed/fleet.go \
   's/since\.Changes = merge\(listed\.Changes, since\.Changes\)/since.Changes = listed.Changes/' ./internal/feed TestDisconnectedSourceIsUsed
-mutant "a list is given only while its proof is young" internal/fleet/recent.go \
+mutant "a list is only served while recently verified" internal/fleet/recent.go \
   's/s := d\.Snapshot\(\); s != nil \{/s := d.Snapshot(); s != nil \&\& time.Since(s.ProvenAt) < time.Second {/' ./internal/feed TestDisconnectedSourceIsUsed
-mutant "duties fall to the first by ID" internal/cluster/topology.go \
+mutant "roles are assigned by ID alone" internal/cluster/topology.go \
   's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/director TestWeakNodeManagesNoGroups
-mutant "the first by ID are followed" internal/cluster/topology.go \
+mutant "leaders are chosen by ID alone" internal/cluster/topology.go \
   's/func CompareForRole\(a, b Record\) int \{/func CompareForRole(a, b Record) int {\n\ta.Processor, b.Processor = 0, 0/' ./internal/feed TestWeakNodesAreNotFollowed
-mutant "an answer is bounded as a whole" internal/transport/progress.go \
+mutant "a response has a total timeout" internal/transport/progress.go \
   's/if p\.timer\.Stop\(\) \{/if false {/' ./platform TestAnswerThatKeepsComingIsReadToItsEnd
-mutant "an answer that creeps is never given up" internal/transport/progress.go \
+mutant "a response with minimal progress never times out" internal/transport/progress.go \
   's/min\(p\.pause, time\.Until\(p\.end\)\)/p.pause/' ./platform TestAnswerThatCreepsIsGivenUp
-mutant "a node that starts again writes its record first" internal/cluster/records.go \
+mutant "a restarted node writes its record first" internal/cluster/records.go \
   's/registered = registered \|\| found/_ = found/' ./internal/cluster TestRestartedNodeKnowsTheOthersWithoutAWrite
 mutant "a page that fails ends the list" platform/store.go \
   's/pageTries = 4/pageTries = 1/' ./platform TestPageThatFailsIsAskedForAgain
-mutant "a leader waits as long as it pauses" internal/feed/fleet.go \
+mutant "a leader's wait equals its pause" internal/feed/fleet.go \
   's/leaderWait = 250/leaderWait = 500/' ./internal/feed TestVerificationIsRecentUnderHeartbeatTiming
-mutant "the least known load is taken" internal/gateway/choose.go \
+mutant "stale loads are compared without sampling" internal/gateway/choose.go \
   's/&& !tt\.loadsAreFresh\(now, hr\.key, len\(candidates\)\)/\&\& false/' ./internal/gateway TestBurstAtManyNodes
-mutant "arrivals elsewhere are not expected" internal/gateway/divide.go \
+mutant "arrivals at other nodes are ignored" internal/gateway/divide.go \
   's/total \+= d\.GetArrivals\(\)/total += 0/' ./internal/gateway TestBurstAtManyNodes
-mutant "callers come back at once" internal/gateway/room.go \
+mutant "rejected callers retry at once" internal/gateway/room.go \
   's/overloadRetrySpread = 3 \* time\.Second/overloadRetrySpread = time.Nanosecond/' ./internal/gateway TestBurstWithRetries
-mutant "patience is learned in a crowd" internal/gateway/predict.go \
+mutant "caller timeouts are learned under overload" internal/gateway/predict.go \
   's/if now\.Sub\(tt\.lastRejection\) > noRejectionPeriod \{/if true {/' ./internal/gateway TestRetriesAreRecognizedByTimeout
-mutant "the part turned away outlasts its crowd" internal/gateway/choose.go \
+mutant "the rejected share outlasts the burst" internal/gateway/choose.go \
   's/tt\.recordRejectedShare\(hr\.key, 0\)//' ./internal/gateway TestRejectionsEndAfterBurst
-mutant "a node that knows nobody directs" internal/director/duty.go \
+mutant "a node without peer records manages groups" internal/director/duty.go \
   's/return ok && now\.Sub\(known\) >= stabilizationTime && /_, _ = known, ok\n\treturn /' ./internal/director TestNodeWithoutPeerRecordsManagesNoGroups
-mutant "a restart is the beginning" internal/director/place.go \
+mutant "a mass restart counts as the first start" internal/director/place.go \
   's/ && !s\.servedDomains\[domain\]//' ./internal/director TestMassRestartLimitsLoads
-mutant "copies ahead have no end" internal/placement/copies.go \
+mutant "prefetched copies are unlimited" internal/placement/copies.go \
   's/prefetchGroups = 2/prefetchGroups = 1000/' ./internal/placement TestPrefetchedCopiesAreBounded
-mutant "a member counts as long as it lives" internal/cluster/share.go \
+mutant "a member's load counts until the liveness timeout" internal/cluster/share.go \
   's/memberLoadIntervals\*c\.memberInterval\(\)/c.livenessTimeout()/' ./internal/cluster TestMovedMemberCountsAtOneHub
-mutant "a hub names its own groups apart" internal/cluster/share.go \
+mutant "a hub reports its own groups twice" internal/cluster/share.go \
   's/ownState\.Loads, ownState\.Demand = nil, nil//' ./internal/cluster TestAnswerToAMemberNamesEachGroupOnce
-mutant "each answer is judged by itself" internal/director/state.go \
+mutant "each response is evaluated separately" internal/director/state.go \
   's/if !s\.reconcilePending \{/if true {/' ./internal/director TestResponsesOfManyVMsAreEvaluatedTogether
-mutant "all VMs get copies before the first callers" internal/placement/copies.go \
+mutant "early prefetch is unlimited" internal/placement/copies.go \
   's/maxEarlyPrefetch = 128/maxEarlyPrefetch = 1 << 20/' ./internal/placement TestPrefetchedCopiesAreBounded
-mutant "what was planned loads on when callers come" internal/director/groups.go \
+mutant "planned loads continue unlimited when traffic starts" internal/director/groups.go \
   's/s\.mayJoin\(vm, f\) && //' ./internal/director TestTrafficBeforeFirstLoadsLimitsLoads
-mutant "idle connections have no bound" internal/daemon/daemon.go \
+mutant "idle connections are unlimited" internal/daemon/daemon.go \
   's/MaxIdleConns:        mostIdle,//' ./internal/daemon TestIdleConnectionsAreBounded
-mutant "heads are filled beyond their room" internal/spread/spread.go \
+mutant "heads are filled beyond their headroom" internal/spread/spread.go \
   's/return min\(max\(level-h\.remaining\(\), 0\), h\.headroom\(\)\)/return max(level-h.remaining(), 0)/' ./internal/spread TestSharesKeepToTheHeadroom
-mutant "backpressure: a limit is not kept" internal/backpressure/table.go \
+mutant "backpressure: a limit is ignored" internal/backpressure/table.go \
   's/if !c\.limit\.active \{\n\t\treturn Throttle\{\}/if true {\n\t\treturn Throttle{}/' ./internal/gateway TestUpstreamLimitIsRespected
-mutant "backpressure: each node uses the whole limit" internal/cluster/sharing.go \
+mutant "backpressure: each node uses the full limit" internal/cluster/sharing.go \
   's/if !domainReachable \{/out.Nodes = []string{out.Self}\n\tif false {/' ./internal/cluster TestLimitHoldsOverAllNodes
 mutant "backpressure: every node of the failure domain is a holder" internal/backpressure/sharing.go \
   's/if count >= len\(s\.Nodes\) \{/if true {/' ./internal/backpressure TestHoldersTogetherKeepToLimit
-mutant "backpressure: a foreign node uses the whole limit" internal/backpressure/sharing.go \
+mutant "backpressure: a remote node uses the full limit" internal/backpressure/sharing.go \
   's/if !s\.Remote \{\n\t\tcount/if true {\n\t\tcount/' ./internal/backpressure TestHoldersTogetherKeepToLimit
 mutant "backpressure: a new holder does not wait" internal/backpressure/limit.go \
   's/now\.Add\(handoverDelay\), 0/now, 0/' ./internal/backpressure TestNewHolderWaits
-mutant "backpressure: an older answer ends a limit" internal/backpressure/table.go \
+mutant "backpressure: an older response clears a limit" internal/backpressure/table.go \
   's/ \|\| !sent\.After\(c\.limit\.reportedAt\)//' ./internal/backpressure TestEarlierResponseDoesNotClearLimit
 mutant "backpressure: a limit is lost with its target" internal/gateway/condition.go \
   's/tt\.conditions\.Sweep\(/tt.conditions = backpressure.NewTable()\n\ttt.conditions.Sweep(/' ./internal/gateway TestLimitOutlivesAConfigurationChange
-mutant "backpressure: others are not told of limits" internal/gateway/condition.go \
+mutant "backpressure: limits are not sent to other nodes" internal/gateway/condition.go \
   's/into\.Conditions = append\(into\.Conditions, r\.Encode\(now\)\)/_ = r/' ./internal/gateway TestReportedLimitIsRespected
-mutant "backpressure: looks for a place use a limit up" internal/gateway/move.go \
+mutant "backpressure: failed reservations consume a limit" internal/gateway/move.go \
   's/\t\ttt\.conditions\.UndoSent\(incarnationOf\(next\.vm\)\)\n//' ./internal/gateway TestFailedReservationLeavesLimitUnchanged
-mutant "backpressure: kept places go beside a limit" internal/gateway/condition.go \
+mutant "backpressure: reserved slots bypass a limit" internal/gateway/condition.go \
   's/throttle := tt\.throttle\(now, t, reserved\); throttle\.Throttled/throttle := tt.throttle(now, t, reserved); throttle.Throttled \&\& len(tried) == 0/' ./internal/gateway TestNoSlotReservedAtLimitedHead
-mutant "backpressure: all ranks get the same of a limit" internal/backpressure/table.go \
+mutant "backpressure: all priorities get the same share of a limit" internal/backpressure/table.go \
   's/needed := 1 \+ min\(reserve, maxReserve\)/needed := 1.0\n\t_ = reserve/' ./internal/backpressure TestUrgentRequestsGoFirst
-mutant "backpressure: a word on a former life counts" internal/backpressure/table.go \
+mutant "backpressure: a record of a previous incarnation counts" internal/backpressure/table.go \
   's/ \|\| t\.vms\[r\.VM\] != nil//' ./internal/backpressure TestRecordOfPreviousIncarnationIsIgnored
-mutant "backpressure: a word on a VM that is gone goes round for ever" internal/backpressure/table.go \
+mutant "backpressure: a record of a removed VM circulates forever" internal/backpressure/table.go \
   's/!listed \|\| //' ./internal/backpressure TestRecordOfRemovedVMExpiresAtAllNodes
-mutant "backpressure: a rest is not kept" internal/backpressure/rest.go \
+mutant "backpressure: a backoff is ignored" internal/backpressure/rest.go \
   's/if now\.Before\(b\.until\) \{/if false {/' ./internal/gateway TestNoRequestsDuringBackoff
-mutant "backpressure: all come at once after a rest" internal/backpressure/rest.go \
+mutant "backpressure: all requests are sent at once after a backoff" internal/backpressure/rest.go \
   's/if b\.probing \{/if false {/' ./internal/backpressure TestSingleProbeAfterBackoff
-mutant "backpressure: a rest has no bound" internal/backpressure/rest.go \
+mutant "backpressure: a backoff has no upper limit" internal/backpressure/rest.go \
   's/min\(n\.Backoff, MaxBackoff\)/n.Backoff/' ./internal/backpressure TestBackoffIsBounded
-mutant "backpressure: a VM that leaves stays in the choice" internal/gateway/condition.go \
+mutant "backpressure: a leaving VM is still chosen" internal/gateway/condition.go \
   's/ \|\| tt\.conditions\.Leaving\(incarnationOf\(t\.vm\)\)//' ./internal/gateway TestReportedLeavingUpstreamGetsNoRequests
-mutant "backpressure: a VM that leaves is listed as its entry says" internal/fleet/directory.go \
+mutant "backpressure: a leaving VM is listed with its entry's state" internal/fleet/directory.go \
   's/\td\.leaving\.mark\(vms\)\n//' ./internal/fleet TestLeavingVMDrainsRegardlessOfItsEntry
-mutant "backpressure: what reports say is not heard" platform/engine.go \
+mutant "backpressure: conditions in reports are ignored" platform/engine.go \
   's/\te\.hear\(vm, resp\)\n//g' ./platform TestVMThatLeavesSaysSoInReports
-mutant "backpressure: entries send to engines that rest" internal/routing/routing.go \
+mutant "backpressure: entries send to engines in backoff" internal/routing/routing.go \
   's/, BackoffFilter\{\}//' ./internal/routing TestBackingOffUpstreamIsNotChosen
-mutant "an entry that is written late counts as the newest word" internal/director/watch.go \
+mutant "an outdated entry counts as the latest state" internal/director/watch.go \
   's/ \|\| v\.isEntryOutdated\(vm\.Membership\)//' ./internal/director TestEntryOfAFormerGroupFreesNoVM
-mutant "a group is known by its members' entries alone" internal/director/groups.go \
+mutant "a formed group is only known by its members' entries" internal/director/groups.go \
   's/\ts\.groups\[f\.name\]\.addMembers\(f\.members, s\.snapshot\.VMs\)\n//' ./internal/director TestGroupFormedWhilePlatformUnreachableIsKept
 
 echo "$survivors survived or not applied"
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,4 +1,4 @@
-# Shared by the demos: processes in the background that end with the script.
+# Sourced by the demos: starts background processes and stops them when the script exits.
 bin=$PWD/bin
 run=$(mktemp -d)
 pids=()
--- a/scripts/proof.sh
+++ b/scripts/proof.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs exactly the tests that docs/PROOF.md names and prints one line per
-# promise. SEED=n ROUNDS=m repeats them with seeds n to n+m-1 and more checks.
+# Runs the tests that docs/PROOF.md names and prints one line per guarantee.
+# SEED=n ROUNDS=m repeats them with the seeds n to n+m-1 and more checks.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 seed=${SEED:-}
@@ -13,9 +13,9 @@
 promise() { # NAME TESTS PACKAGES...
   local name=$1 tests=$2
   shift 2
-  local began=$SECONDS
+  local started=$SECONDS
   if go test -count=1 -parallel 4 -v -run "^($tests)\$" "$@" >"$log" 2>&1; then
-    printf 'held    %-58s %3d tests, %4d s\n' "$name" "$(grep -c '^ *--- PASS' "$log")" $((SECONDS - began))
+    printf 'held    %-58s %3d tests, %4d s\n' "$name" "$(grep -c '^ *--- PASS' "$log")" $((SECONDS - started))
     grep -hoE 'seed [0-9]+: [0-9]+ requests, faults.*' "$log" | sed 's/^/        /'
     return
   fi
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows that each check of the soak sees what it is for: a mutant of the node, in a copy of the tree,
-# must be found by that check within ten seeds. ONLY=text takes those whose name holds the text;
-# JOBS runs so many beside each other.
+# Checks that each check of the soak detects the fault that it is meant for: it must fail for a mutant
+# of the node, built in a copy of the tree, within ten seeds. ONLY=text runs those whose name contains
+# the text; JOBS is the number of parallel runs.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -11,7 +11,7 @@
 jobs=${JOBS:-4}
 number=0
 
-one() { # NUMBER CHECK FILES PERL-EXPRESSION [SOAK-FLAGS]
+run_mutant() { # NUMBER CHECK FILES PERL-EXPRESSION [SOAK-FLAGS]
   local tree="$work/tree-$1" out="$work/result-$1"
   mkdir "$tree"
   git ls-files -co --exclude-standard -z -- cmd internal api platform go.mod go.sum | xargs -0 cp --parents -t "$tree" 2>/dev/null
@@ -42,7 +42,7 @@
   [[ "$1" == *"$only"* ]] || return 0
   number=$((number + 1))
   while (($(jobs -rp | wc -l) >= jobs)); do wait -n; done
-  one "$number" "$@" &
+  run_mutant "$number" "$@" &
 }
 
 mutant "own whole answer" internal/gateway/answer.go 's/if errors\.Is\(err, io\.EOF\) \{/if err != nil {/'
