--- a/internal/feed/catalog.go
+++ b/internal/feed/catalog.go
@@ -39,9 +39,9 @@
 var _ catalog.Source = (*Catalog)(nil)
 
 // Current implements catalog.Source. With many nodes, most of them read the configuration from others.
-func (c *Catalog) Current(ctx context.Context) (catalog.Watched, error) {
-	w, err := firstRead[catalog.Watched]{object: "configuration", selector: c.selector, fromPeer: c.currentFrom, fromPlatform: c.current}.read(ctx)
-	if err == nil && clock.Since(w.ProvenAt) > maxUnrefreshedAge {
+func (c *Catalog) Current(ctx context.Context) (catalog.WatchResult, error) {
+	w, err := firstRead[catalog.WatchResult]{object: "configuration", selector: c.selector, fromPeer: c.currentFrom, fromPlatform: c.current}.read(ctx)
+	if err == nil && clock.Since(w.VerifiedAt) > maxUnrefreshedAge {
 		w, err = c.refresh(ctx, w)
 	}
 	if err == nil && w.Catalog == nil {
@@ -51,13 +51,13 @@
 }
 
 // refresh brings another node's configuration up to date, as Fleet.refresh does for a list.
-func (c *Catalog) refresh(ctx context.Context, w catalog.Watched) (catalog.Watched, error) {
+func (c *Catalog) refresh(ctx context.Context, w catalog.WatchResult) (catalog.WatchResult, error) {
 	since, err := c.source.Changed(ctx, w.Revision, 0)
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
 		return c.current(ctx)
 	case err != nil:
-		c.selector.log.Emit(event.TakenUnproven).Str("of", "configuration").Dur("age_ms", clock.Since(w.ProvenAt)).Err(err).Send()
+		c.selector.log.Emit(event.UnverifiedStateAdopted).Str("of", "configuration").Dur("age_ms", clock.Since(w.VerifiedAt)).Err(err).Send()
 		return w, nil
 	}
 	if since.Catalog == nil {
@@ -67,7 +67,7 @@
 }
 
 // current reads the configuration from the platform. It is not an error here if there is none.
-func (c *Catalog) current(ctx context.Context) (catalog.Watched, error) {
+func (c *Catalog) current(ctx context.Context) (catalog.WatchResult, error) {
 	w, err := c.source.Current(ctx)
 	if errors.Is(err, platform.ErrNotFound) && w.Revision > 0 {
 		err = nil
@@ -76,17 +76,17 @@
 }
 
 // currentFrom reads the configuration from another node.
-func (c *Catalog) currentFrom(ctx context.Context, source cluster.Record, wait time.Duration) (catalog.Watched, error) {
+func (c *Catalog) currentFrom(ctx context.Context, source cluster.Record, wait time.Duration) (catalog.WatchResult, error) {
 	requestedAt := clock.Now()
 	resp, err := c.selector.client(source).FollowCatalog(ctx, connect.NewRequest(&marbleroadv1.FollowCatalogRequest{
 		WaitMs: uint32(wait.Milliseconds())}))
 	if err != nil {
-		return catalog.Watched{}, err
+		return catalog.WatchResult{}, err
 	}
 	clock.Sync()
-	w := catalog.Watched{Revision: resp.Msg.GetRevision(), ProvenAt: requestedAt.Add(milliseconds(resp.Msg.GetProvenAfterMs()))}
+	w := catalog.WatchResult{Revision: resp.Msg.GetRevision(), VerifiedAt: requestedAt.Add(milliseconds(resp.Msg.GetProvenAfterMs()))}
 	if w.Revision == 0 {
-		return catalog.Watched{}, errSourceEmpty
+		return catalog.WatchResult{}, errSourceEmpty
 	}
 	if resp.Msg.GetVersion() > 0 {
 		w.Catalog, err = c.unpack(resp.Msg.GetDocument())
@@ -95,7 +95,7 @@
 }
 
 // Changed implements catalog.Source.
-func (c *Catalog) Changed(ctx context.Context, revision uint64, wait time.Duration) (catalog.Watched, error) {
+func (c *Catalog) Changed(ctx context.Context, revision uint64, wait time.Duration) (catalog.WatchResult, error) {
 	leader, ok := c.selector.pick(clock.Now())
 	if !ok {
 		return c.watch(ctx, revision, wait)
@@ -109,7 +109,7 @@
 		}
 		return resp.Msg, milliseconds(resp.Msg.GetProvenAfterMs()), nil
 	})
-	out := catalog.Watched{Revision: max(revision, next.GetRevision()), ProvenAt: verifiedAt}
+	out := catalog.WatchResult{Revision: max(revision, next.GetRevision()), VerifiedAt: verifiedAt}
 	if next.GetVersion() > known {
 		// The received version is newer than the one in force here, even if it was verified long ago.
 		if out.Catalog, err = c.unpack(next.GetDocument()); err == nil {
@@ -136,9 +136,9 @@
 
 // watch waits for changes at the platform itself. It fails at once while this node backs off from the
 // platform after a failed call.
-func (c *Catalog) watch(ctx context.Context, revision uint64, wait time.Duration) (catalog.Watched, error) {
+func (c *Catalog) watch(ctx context.Context, revision uint64, wait time.Duration) (catalog.WatchResult, error) {
 	if err := c.calls.allowed(clock.Now()); err != nil {
-		return catalog.Watched{}, err
+		return catalog.WatchResult{}, err
 	}
 	w, err := c.source.Changed(ctx, revision, wait)
 	c.calls.finished(clock.Now(), err)
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -122,7 +122,7 @@
 	}
 	if signals.Backoff > 0 {
 		j.s.metrics.Count("upstreams.rests.heard", 1)
-		j.s.log.Emit(event.UpstreamResting).Str("vm", s.vm.ID).Int64("born", s.vm.Born).Str("group", s.target.group).
+		j.s.log.Emit(event.UpstreamBackoff).Str("vm", s.vm.ID).Int64("born", s.vm.Born).Str("group", s.target.group).
 			Str("request", j.c.ID).Int64("rest_ms", signals.Backoff.Milliseconds()).Send()
 	}
 	if signals.Leaving {
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -48,14 +48,14 @@
 
 // fewNodes exchange states directly.
 var fewNodes = burstParams{nodes: 7, heads: 8, steadyRate: 60, objective: 500 * time.Millisecond, eventDelay: 120 * time.Millisecond, engine: catalog.Engine{
-	Slots: 26, StepTime: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, Stride: burstStepsPerPass,
-	ReadPerSecond: 46000, UsualPrompt: 1600, UsualAnswer: 110, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
+	Slots: 26, StepTime: 6 * time.Millisecond, PerSequence: 240 * time.Microsecond, StepsPerPass: burstStepsPerPass,
+	ReadPerSecond: 46000, MeanPrompt: 1600, MeanAnswer: 110, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
 }}
 
 // manyNodes exchange states through hubs, and each sends few requests.
 var manyNodes = burstParams{nodes: 89, heads: 15, steadyRate: 180, objective: 300 * time.Millisecond, eventDelay: 93 * time.Millisecond, stateDelay: 450 * time.Millisecond, engine: catalog.Engine{
-	Slots: 48, StepTime: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: burstStepsPerPass,
-	ReadPerSecond: 56000, UsualPrompt: 900, UsualAnswer: 150, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
+	Slots: 48, StepTime: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, StepsPerPass: burstStepsPerPass,
+	ReadPerSecond: 56000, MeanPrompt: 900, MeanAnswer: 150, Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}},
 }}
 
 // burstCall is the request of one caller.
@@ -228,9 +228,9 @@
 	one := &burstCall{
 		firstAttempt:   c.now,
 		timeout:        burstTimeout - time.Duration(c.random.Float64()*float64(c.params.timeoutSpread)),
-		responseTokens: 1 + int(c.random.ExpFloat64()*c.engine.UsualAnswer),
+		responseTokens: 1 + int(c.random.ExpFloat64()*c.engine.MeanAnswer),
 		call: &Call{Service: "s", Model: "m", CallerTimeout: burstTimeout, Route: &catalog.Route{Name: "r", Objective: c.params.objective},
-			PromptTokens: 40 + int(min(c.random.ExpFloat64(), 4)*c.engine.UsualPrompt)},
+			PromptTokens: 40 + int(min(c.random.ExpFloat64(), 4)*c.engine.MeanPrompt)},
 	}
 	c.deliver(one)
 	c.schedule(time.Duration(c.random.ExpFloat64()/rate*float64(time.Second)), func() { c.sendCalls(rate, until) })
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -56,7 +56,7 @@
 		return s.notReadyError()
 	}
 	c.CatalogVersion = current.Version()
-	c.CatalogAge = s.catalog.ProvenAge(c.Arrived)
+	c.CatalogAge = s.catalog.VerifiedAge(c.Arrived)
 	c.Route = current.Match(c.Host, c.Path)
 	if c.Route == nil {
 		return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusNotFound, Code: codeNoRoute, Detail: "no route matches this host and path"}
@@ -76,7 +76,7 @@
 // authenticate finds the team that holds the call's key. Keys are accepted only while the catalog was
 // recently verified to be the newest.
 func (s *Server) authenticate(c *Call, current *catalog.Catalog) *verdict.Error {
-	if c.Route.Public || !current.KeysAsked() {
+	if c.Route.Public || !current.KeysRequired() {
 		return nil
 	}
 	if s.config.RevokeBound > 0 && c.CatalogAge > s.config.RevokeBound {
@@ -202,7 +202,7 @@
 	s.metrics.Count("failed."+failure.Code, 1)
 	s.metrics.Observe("request.failed", elapsed)
 	if callerLeft(r, failure) {
-		s.log.Emit(event.CallerLeft).Str("request", c.ID).Str("route", name).Dur("took_ms", elapsed).Send()
+		s.log.Emit(event.CallerDisconnected).Str("request", c.ID).Str("route", name).Dur("took_ms", elapsed).Send()
 		panic(http.ErrAbortHandler)
 	}
 	kind := event.RequestRefused
--- a/internal/gateway/predict.go
+++ b/internal/gateway/predict.go
@@ -63,7 +63,7 @@
 		return float64(c.PromptTokens)
 	}
 	if p := tt.pools[c.Service]; p != nil && p.service.Engine != nil {
-		return p.service.Engine.UsualPrompt
+		return p.service.Engine.MeanPrompt
 	}
 	return 0
 }
--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -33,7 +33,7 @@
 		pace = m.Pace
 	}
 	step := e.StepTime.Seconds() + e.PerSequence.Seconds()*float64(e.Slots)
-	perSlot := e.UsualAnswer * step * pace / float64(max(e.Slots, 1))
+	perSlot := e.MeanAnswer * step * pace / float64(max(e.Slots, 1))
 	if perSlot <= 0 {
 		return 0
 	}
--- a/internal/gateway/room_test.go
+++ b/internal/gateway/room_test.go
@@ -17,12 +17,12 @@
 // fixedCatalog is a source of a catalog that never changes.
 type fixedCatalog struct{ c *catalog.Catalog }
 
-func (f fixedCatalog) Current(context.Context) (catalog.Watched, error) {
-	return catalog.Watched{Catalog: f.c, Revision: 1, ProvenAt: time.Now()}, nil
+func (f fixedCatalog) Current(context.Context) (catalog.WatchResult, error) {
+	return catalog.WatchResult{Catalog: f.c, Revision: 1, VerifiedAt: time.Now()}, nil
 }
-func (f fixedCatalog) Changed(ctx context.Context, _ uint64, _ time.Duration) (catalog.Watched, error) {
+func (f fixedCatalog) Changed(ctx context.Context, _ uint64, _ time.Duration) (catalog.WatchResult, error) {
 	<-ctx.Done()
-	return catalog.Watched{}, platform.ErrUnavailable
+	return catalog.WatchResult{}, platform.ErrUnavailable
 }
 
 // TestLessUrgentIsRefusedFirst: at a head that is nearly full, a request of the highest rank is admitted
@@ -30,7 +30,7 @@
 func TestLessUrgentIsRefusedFirst(t *testing.T) {
 	route := catalog.Route{Prefix: "/a/", Priority: 1, Objective: 300 * time.Millisecond, Targets: []catalog.Target{{Service: "s", Weight: 1}}}
 	c, err := catalog.New(catalog.Content{Routes: []catalog.Route{route}, Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{
-		Slots: 20, StepTime: 6 * time.Millisecond, PerSequence: 250 * time.Microsecond, UsualAnswer: 100, ReadPerSecond: 46000,
+		Slots: 20, StepTime: 6 * time.Millisecond, PerSequence: 250 * time.Microsecond, MeanAnswer: 100, ReadPerSecond: 46000,
 		Models: []catalog.Model{{Name: "m", Size: 1, Pace: 1}}}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cache := catalog.NewKeeper(fixedCatalog{c}, log, time.Second)
+	cache := catalog.NewCache(fixedCatalog{c}, log, time.Second)
 	adopted := make(chan struct{})
 	cache.OnChange(func() { close(adopted) })
 	if err := cache.Start(context.Background()); err != nil {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -73,7 +73,7 @@
 	Log       *event.Logger
 	Metrics   *metrics.Registry
 	Tracer    *tracing.Tracer
-	Catalog   *catalog.Keeper
+	Catalog   *catalog.Cache
 	Directory *fleet.Directory
 	Caller    CallerDialect
 	Upstream  UpstreamDialect
@@ -103,7 +103,7 @@
 	parts           Parts
 	log             *event.Logger
 	metrics         *metrics.Registry
-	catalog         *catalog.Keeper
+	catalog         *catalog.Cache
 	callerDialect   CallerDialect
 	upstreamDialect UpstreamDialect
 	sender          *relay.Sender
@@ -235,7 +235,7 @@
 
 // Write implements io.Writer.
 func (w errorLogWriter) Write(p []byte) (int, error) {
-	kind := event.ListenerFault
+	kind := event.ConnectionFailed
 	if bytes.Contains(p, []byte("panic serving")) {
 		kind = event.HandlerPanicked
 	}
@@ -261,7 +261,7 @@
 	if s.catalog.Catalog() == nil {
 		return false
 	}
-	return s.config.RevokeBound == 0 || s.catalog.ProvenAge(clock.Now()) <= s.config.RevokeBound
+	return s.config.RevokeBound == 0 || s.catalog.VerifiedAge(clock.Now()) <= s.config.RevokeBound
 }
 
 // HasGroups reports whether each model of the configuration has a group that accepts requests. It is true
@@ -279,7 +279,7 @@
 }
 
 func (s *Server) handleReady(w http.ResponseWriter, r *http.Request) {
-	s.metrics.Set("catalog.age_ms", s.catalog.ProvenAge(clock.Now()).Milliseconds())
+	s.metrics.Set("catalog.age_ms", s.catalog.VerifiedAge(clock.Now()).Milliseconds())
 	if r.URL.Path != s.config.ReadyPath {
 		http.NotFound(w, r)
 		return
@@ -309,7 +309,7 @@
 	s.stopDeadline.Store(&deadline)
 	err := s.callers.Drain(limit, s.config.Linger)
 	if err != nil {
-		s.log.Emit(event.StopLimit).Int("connections", s.callers.Open()).Err(err).Send()
+		s.log.Emit(event.StopLimit).Int("connections", s.callers.OpenConnections()).Err(err).Send()
 	}
 	s.cancelWork()
 	closing, cancelClosing := context.WithTimeout(context.Background(), closeLimit)
@@ -397,7 +397,7 @@
 	s.publishLoadStats(now)
 	if stalled := s.targets.detectSchedulingStall(now); stalled >= minLoggedStall {
 		s.metrics.Count("held_up", 1)
-		s.log.Emit(event.HeldUp).Int64("for_ms", stalled.Milliseconds()).Send()
+		s.log.Emit(event.SchedulingStall).Int64("for_ms", stalled.Milliseconds()).Send()
 	}
 	s.confirmTerminations(now)
 	s.metrics.Count("streams.lost", int64(s.moveAll(now, s.targets.findLost(now), errLostResponse)))
--- a/scripts/proof.sh
+++ b/scripts/proof.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs exactly the tests that docs/PROOF.md names and prints one line per
-# promise. SEED=n ROUNDS=m repeats them with seeds n to n+m-1 and more checks.
+# Runs the tests that docs/PROOF.md names and prints one line per guarantee.
+# SEED=n ROUNDS=m repeats them with the seeds n to n+m-1 and more checks.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 seed=${SEED:-}
@@ -13,9 +13,9 @@
 promise() { # NAME TESTS PACKAGES...
   local name=$1 tests=$2
   shift 2
-  local began=$SECONDS
+  local started=$SECONDS
   if go test -count=1 -parallel 4 -v -run "^($tests)\$" "$@" >"$log" 2>&1; then
-    printf 'held    %-58s %3d tests, %4d s\n' "$name" "$(grep -c '^ *--- PASS' "$log")" $((SECONDS - began))
+    printf 'held    %-58s %3d tests, %4d s\n' "$name" "$(grep -c '^ *--- PASS' "$log")" $((SECONDS - started))
     grep -hoE 'seed [0-9]+: [0-9]+ requests, faults.*' "$log" | sed 's/^/        /'
     return
   fi
@@ -37,7 +37,7 @@
   promise "The whole answer to one's own request" \
     'TestStreamKeepsSequence|FuzzStream|TestInterleaved.*|TestBrokenStream.*|TestUpstreamDies.*|TestSpilledStream.*|TestCallerComesBack.*' ./internal/relay $int
   promise "What is refused as not run did not run" \
-    'TestVerdicts|TestNoReplay.*|TestReplayIsReal|TestNotRun.*|TestSpill.*' ./internal/relay $int
+    'TestVerdicts|TestNoReplay.*|TestTransportReplaysIdempotentRequests|TestNotRun.*|TestSpill.*' ./internal/relay $int
   promise "A non-idempotent request runs at most once" \
     'TestAtMostOnce|TestGroupCommit|TestNoReplay.*|TestRetryElsewhere.*|TestEntryKilled.*|TestLedger.*|TestRacingTries|TestBrokenKeyed.*|TestCallerCannot.*|TestPlatformDown.*' ./internal/ledger ./internal/relay $int
   promise "A leaving upstream gets no new work" 'TestLeaving.*' $int
--- a/scripts/soak-mutants.sh
+++ b/scripts/soak-mutants.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows that each check of the soak sees what it is for: a mutant of the node, in a copy of the tree,
-# must be found by that check within ten seeds. ONLY=text takes those whose name holds the text;
-# JOBS runs so many beside each other.
+# Checks that each check of the soak detects the fault that it is meant for: it must fail for a mutant
+# of the node, built in a copy of the tree, within ten seeds. ONLY=text runs those whose name contains
+# the text; JOBS is the number of parallel runs.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -11,7 +11,7 @@
 jobs=${JOBS:-4}
 number=0
 
-one() { # NUMBER CHECK FILES PERL-EXPRESSION [SOAK-FLAGS]
+run_mutant() { # NUMBER CHECK FILES PERL-EXPRESSION [SOAK-FLAGS]
   local tree="$work/tree-$1" out="$work/result-$1"
   mkdir "$tree"
   git ls-files -co --exclude-standard -z -- cmd internal api platform go.mod go.sum | xargs -0 cp --parents -t "$tree" 2>/dev/null
@@ -42,7 +42,7 @@
   [[ "$1" == *"$only"* ]] || return 0
   number=$((number + 1))
   while (($(jobs -rp | wc -l) >= jobs)); do wait -n; done
-  one "$number" "$@" &
+  run_mutant "$number" "$@" &
 }
 
 mutant "own whole answer" internal/gateway/answer.go 's/if errors\.Is\(err, io\.EOF\) \{/if err != nil {/'
@@ -53,8 +53,8 @@
 mutant "no half-formed group" internal/director/groups.go 's/allReady = allReady && \(m\.State == fleet\.Ready \|\| m\.State == fleet\.Open\)//'
 mutant "one group at a time" internal/director/dissolve.go 's/gs\.dissolving, gs\.graceful, gs\.dissolvingSince = true, graceful, now/gs.dissolving, gs.graceful, gs.dissolvingSince, gs.released = true, graceful, now, true/'
 mutant "leaving upstreams" internal/gateway/board.go 's/ \|\| vm\.Draining//'
-mutant "changes hold in time" internal/catalog/keeper.go 's/c\.version <= old\.version\)/c.version <= old.version+1)/'
-mutant "changes never revert" internal/catalog/keeper.go 's/k\.current\.Store\(c\)/k.current.Store(c)\n\ttime.AfterFunc(1500*time.Millisecond, func() { k.current.Store(old) })/'
+mutant "changes hold in time" internal/catalog/keeper.go 's/next\.version <= old\.version\)/next.version <= old.version+1)/'
+mutant "changes never revert" internal/catalog/keeper.go 's/c\.current\.Store\(next\)/c.current.Store(next)\n\ttime.AfterFunc(1500*time.Millisecond, func() { c.current.Store(old) })/'
 mutant "revoked keys end" internal/gateway/handle.go 's/team, ok := current\.Team\(c\.Key\)\n\tif !ok/team, ok := current.Team("key-7")\n\tif !ok/'
 mutant "budget for repeats" internal/retry/budget.go 's/if decision\.Earned\+decision\.Fixed < 1-roundingTolerance/if false/'
 mutant "work for callers that left" 'internal/gateway/handle.go internal/gateway/stream.go' 's/s\.parts\.Tracer\.Extract\(r\.Context\(\), r\.Header\)/context.WithoutCancel(s.parts.Tracer.Extract(r.Context(), r.Header))/; s/return errors\.CombineErrors\(errCallerDisconnected, err\)/_ = err/g'
