--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -137,8 +137,8 @@
 // terminatedSoonAfter reports whether the VM was terminated while a request that it started may still
 // have been running there. Such a run does not count as an attempt.
 func (ck *checker) terminatedSoonAfter(o groupengine.Observation) bool {
-	for _, d := range ck.history.terminations {
-		if d.vm == o.VM && !d.at.Before(o.At) && d.at.Sub(o.At) < callerTimeout {
+	for _, t := range ck.history.terminations {
+		if t.vm == o.VM && !t.at.Before(o.At) && t.at.Sub(o.At) < callerTimeout {
 			return true
 		}
 	}
@@ -166,15 +166,15 @@
 func (ck *checker) checkGroups() {
 	ready := make(map[groupGeneration]map[string][]string)
 	for _, o := range ck.history.observations {
-		p := groupGeneration{o.Group, o.Epoch}
+		gen := groupGeneration{o.Group, o.Epoch}
 		switch o.Kind {
 		case groupengine.BecameReady:
-			if ready[p] == nil {
-				ready[p] = make(map[string][]string)
+			if ready[gen] == nil {
+				ready[gen] = make(map[string][]string)
 			}
-			ready[p][o.VM] = o.Members
+			ready[gen][o.VM] = o.Members
 		case groupengine.Opened:
-			ck.checkGroupComplete(o, ready[p])
+			ck.checkGroupComplete(o, ready[gen])
 		}
 	}
 	for _, o := range ck.history.joinsFromOpenGroups {
@@ -227,9 +227,9 @@
 	firstServed := make(map[probedVersion]time.Time)
 	for _, c := range ck.history.calls {
 		if c.class == routeProbe && c.status == 200 {
-			l := probedVersion{c.node, c.incarnation, c.version}
-			if old, ok := firstServed[l]; !ok || c.finished.Before(old) {
-				firstServed[l] = c.finished
+			probed := probedVersion{c.node, c.incarnation, c.version}
+			if old, ok := firstServed[probed]; !ok || c.finished.Before(old) {
+				firstServed[probed] = c.finished
 			}
 		}
 	}
@@ -263,7 +263,8 @@
 }
 
 // checkRepeatBudget checks that the repeated arrivals of requests in any window stay within the
-// budget for repeats.
+// budget for repeats. The budget of a window is computed from the busiest of three: the window
+// itself, and those that start half a window and a whole window earlier.
 func (ck *checker) checkRepeatBudget() {
 	type service struct{ repeats, requests []time.Time }
 	services := map[bool]*service{true: {}, false: {}}
@@ -309,10 +310,10 @@
 	return n
 }
 
-// checkCanceledWork checks that work for disconnected callers stops within cancelBound, with few
-// exceptions.
+// checkCanceledWork checks that work for disconnected callers stops within cancelBound. It tolerates
+// maxLate late requests, or a quarter of all of them if that is more.
 func (ck *checker) checkCanceledWork() {
-	const tolerated = 4
+	const maxLate = 4
 	finished := make(map[string]time.Time)
 	for _, o := range ck.history.observations {
 		if o.Kind == groupengine.Ended && o.At.After(finished[o.Request]) {
@@ -329,7 +330,7 @@
 			late++
 		}
 	}
-	if late > tolerated && late*4 > disconnected {
+	if late > maxLate && late*4 > disconnected {
 		ck.report("work for callers that left", "", "%d of %d requests ran on for longer than %s", late, disconnected, cancelBound)
 	}
 }
@@ -417,7 +418,7 @@
 
 // crashedDuring reports whether a request crashed a VM during the call or shortly before it.
 func (ck *checker) crashedDuring(c call) bool {
-	return slices.ContainsFunc(ck.history.crashes, func(d vmEvent) bool {
-		return d.at.Before(c.finished) && d.at.Add(reconnectTime).After(c.sent)
+	return slices.ContainsFunc(ck.history.crashes, func(crash vmEvent) bool {
+		return crash.at.Before(c.finished) && crash.at.Add(reconnectTime).After(c.sent)
 	})
 }
--- a/test/soak/conditions.go
+++ b/test/soak/conditions.go
@@ -18,8 +18,8 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitExtra  = 5
-	// requestedBackoff is the backoff that a VM asks for, maxBackoffRequests how many requests one
-	// node may send during it.
+	// requestedBackoff is the backoff that a VM asks for, maxBackoffRequests the maximum number of
+	// requests that one node may send during it.
 	requestedBackoff   = 6 * time.Second
 	maxBackoffRequests = 2
 	// reportDelay is the time after a response by which its node must apply what the VM reported.
@@ -33,8 +33,8 @@
 	from, to time.Time
 }
 
-// claimCondition reports whether the fault may set the condition that a VM reports: one fault at a
-// time may.
+// claimCondition reports whether a fault may set the condition that a VM reports, which only one
+// fault at a time may, and reserves the VM for it until releaseCondition.
 func (tb *testbed) claimCondition(u *upstream) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -72,8 +72,8 @@
 	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: f.Kind})
 }
 
-// reportLeaving makes a VM report that it leaves with its responses alone. Its entry stays in the store
-// until the VM is terminated.
+// reportLeaving makes a VM report in its responses, and nowhere else, that it leaves. Its entry stays
+// in the store until the VM is terminated.
 func (tb *testbed) reportLeaving(f Fault, u *upstream) {
 	if !tb.claimCondition(u) {
 		return
@@ -187,8 +187,8 @@
 	return out
 }
 
-// arrivalsDuring returns the requests that reached the VM while it reported the condition, and during
-// the requested backoff after it.
+// arrivalsDuring returns the arrivals of callers' requests at the VM while it reported the condition
+// and, if it asked for backoff, for requestedBackoff after that.
 func (ck *checker) arrivalsDuring(rc reportedCondition) []groupengine.Observation {
 	var out []groupengine.Observation
 	for _, o := range ck.history.observations {
--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -20,8 +20,8 @@
 	// crashDowntime is the time until a new VM replaces a crashed one.
 	crashDowntime = 1500 * time.Millisecond
 	// terminationsToQuarantine is the number of VMs that must crash under a request before nodes
-	// have to quarantine it. maxSendsAfterQuarantine is how often the request may reach a VM in
-	// total after all nodes must have learned of that.
+	// have to quarantine it. maxSendsAfterQuarantine is how often the nodes together may still send
+	// the request once all of them must know of the quarantine.
 	terminationsToQuarantine = 3
 	maxSendsAfterQuarantine  = 3
 )
@@ -100,11 +100,12 @@
 }
 
 // checkCrashingRequests checks that a request under which terminationsToQuarantine VMs have crashed
-// reaches at most maxSendsAfterQuarantine more from connected nodes that had time to learn of it.
+// reaches VMs at most maxSendsAfterQuarantine times after that. It does not count requests that
+// arrive before all nodes had time to learn of the quarantine, or from disturbed nodes.
 func (ck *checker) checkCrashingRequests() {
 	crashedAt := make(map[string]time.Time)
-	for _, d := range ck.history.crashes {
-		crashedAt[d.vm] = d.at
+	for _, crash := range ck.history.crashes {
+		crashedAt[crash.vm] = crash.at
 	}
 	runsByTarget := make(map[string]map[string]time.Time)
 	for _, o := range ck.history.observations {
@@ -136,16 +137,16 @@
 }
 
 func (ck *checker) checkSendsAfterQuarantine(target string, quarantinedAt time.Time) {
-	late := 0
+	sends := 0
 	last := ""
 	for _, o := range ck.history.observations {
 		c, known := ck.calls[o.Request]
 		if o.Kind == groupengine.Arrived && o.Target == target && known && o.At.After(quarantinedAt.Add(reconnectTime+ck.slack)) && ck.undisturbed(c.node, o.At) {
-			late++
+			sends++
 			last = o.Request
 		}
 	}
-	if late > maxSendsAfterQuarantine {
-		ck.report("crashing requests end", last, "%s reached upstreams %d times after three had crashed under it", target, late)
+	if sends > maxSendsAfterQuarantine {
+		ck.report("crashing requests end", last, "%s reached upstreams %d times after three had crashed under it", target, sends)
 	}
 }
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -112,7 +112,8 @@
 	tb.applyFor(f, everyNode, adjust(1), adjust(-1))
 }
 
-// claim reports whether the caller may stop or pause the node's process: one fault at a time may.
+// claim reports whether a fault may stop or pause the node's process, which only one fault at a time
+// may, and reserves the process for it until release.
 func (n *node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -90,7 +90,7 @@
 	observations []groupengine.Observation
 	disturbances []disturbance
 	departures   []vmEvent
-	// terminations holds all terminations of VMs, crashes those caused by a request.
+	// terminations holds all terminations of VMs; crashes holds only those caused by a request.
 	terminations []vmEvent
 	crashes      []vmEvent
 	versions     []acceptedVersion
@@ -130,10 +130,10 @@
 	h.terminations = append(h.terminations, vmEvent{vm, time.Now()})
 }
 
-func (h *history) recordCrash(d vmEvent) {
+func (h *history) recordCrash(e vmEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.crashes = append(h.crashes, d)
+	h.crashes = append(h.crashes, e)
 }
 
 func (h *history) recordVersion(a acceptedVersion) {
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -204,7 +204,7 @@
 type result struct {
 	violations                   []violation
 	requests, complete, arrivals int
-	// stalls counts the times that the soak process was not scheduled.
+	// stalls is the number of scheduling stalls of the soak process.
 	stalls int
 }
 
--- a/test/soak/nodes.go
+++ b/test/soak/nodes.go
@@ -27,8 +27,10 @@
 	cmd         *exec.Cmd
 	exited      chan struct{}
 	incarnation int
-	claimed     bool
-	ready       bool
+	// claimed is true while a fault stops or pauses the process.
+	claimed bool
+	// ready is the result of the last readiness check.
+	ready bool
 }
 
 func (tb *testbed) addNode(number int) error {
--- a/test/soak/schedule.go
+++ b/test/soak/schedule.go
@@ -16,7 +16,9 @@
 type Kind string
 
 // The kinds of faults. Those of nodes and upstreams have the number of a node or an upstream as
-// their target.
+// their target. Partitioned freezes the connections of a link, OneWay loses the responses on it,
+// Silent makes the open connections unresponsive for good and Reset closes them once. The links of
+// NodeLinks are those by which other nodes reach a node.
 const (
 	StoreDown                   Kind = "store-down"
 	StoreUnresponsive           Kind = "store-silent"
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -24,14 +24,20 @@
 	longStreamEvents    = 120
 	longStreamFrequency = 5
 	eventInterval       = 30 * time.Millisecond
-	groupSize           = 2
-	engineSlots         = 8
-	repeatRatio         = 0.2
-	repeatExtra         = 20
-	repeatWindow        = 10 * time.Second
-	revokeBound         = 5 * time.Second
-	stopGrace           = 8 * time.Second
-	stallBound          = time.Second
+	// groupSize is the number of VMs of a group, engineSlots the number of requests that a group
+	// runs at once.
+	groupSize   = 2
+	engineSlots = 8
+	// In any repeatWindow, all nodes together may repeat repeatRatio of a service's requests, and
+	// repeatExtra requests beyond that.
+	repeatRatio  = 0.2
+	repeatExtra  = 20
+	repeatWindow = 10 * time.Second
+	// revokeBound is the time after which no node accepts a revoked key.
+	revokeBound = 5 * time.Second
+	// stopGrace is how long a node may take for a graceful stop.
+	stopGrace  = 8 * time.Second
+	stallBound = time.Second
 	// callerTimeout is how long callers wait for an answer.
 	callerTimeout = 5 * time.Second
 	// idleTimeout and headerTimeout limit callers' connections. Callers pause for less than either.
@@ -113,7 +119,8 @@
 	leaving, terminated, reportsCondition bool
 }
 
-// faultLink is a proxy whose faults may overlap; the most severe active fault applies.
+// faultLink is a proxy of one network link. Faults of the link may overlap: it counts the active ones
+// by mode and applies the most severe mode.
 type faultLink struct {
 	proxy  *faultproxy.Proxy
 	mu     sync.Mutex
@@ -284,14 +291,14 @@
 const (
 	// stallCheckInterval is how often the soak checks whether it is scheduled on time.
 	stallCheckInterval = 20 * time.Millisecond
-	// minSchedulingStall is the delay from which a check counts as a scheduling stall, which
-	// affects the other processes of the machine as well.
+	// minSchedulingStall is the minimum time between two checks that counts as a scheduling stall.
+	// Such a stall affects the other processes of the machine as well.
 	minSchedulingStall = 200 * time.Millisecond
 )
 
-// watchSchedulingStalls records the times in which this process was not scheduled. How long a node
-// took cannot be checked for them: its own log may show a few milliseconds. The summary of the
-// run counts them.
+// watchSchedulingStalls records the periods in which this process was not scheduled as disturbances
+// of all nodes. Time limits cannot be checked in them: a response that arrives late here may have
+// taken only a few milliseconds by the node's own log. The summary of the run counts the stalls.
 func (tb *testbed) watchSchedulingStalls() {
 	lastCheck := time.Now()
 	for {
