--- a/test/policy/bench/bench_test.go
+++ b/test/policy/bench/bench_test.go
@@ -37,6 +37,8 @@
 		got["urgent"].MissRate(), baseline["urgent"].MissRate(), got["small"].Goodput(), baseline["small"].Goodput())
 }
 
+// TestSharesFollowWeights checks that teams whose demand exceeds their shares
+// are served in proportion to their weights, within 10 %.
 func TestSharesFollowWeights(t *testing.T) {
 	c := service.Capacity()
 	weights := map[string]int{"a": 4, "b": 2, "c": 1}
@@ -55,6 +57,8 @@
 	}
 }
 
+// TestNoCongestionCollapse checks that at two and four times the capacity at least
+// 90 % as many requests meet their deadline as at the best load.
 func TestNoCongestionCollapse(t *testing.T) {
 	peak := 0.0
 	goodput := make(map[float64]float64)
@@ -70,7 +74,8 @@
 	}
 }
 
-// TestRetryAfterIsHonored checks that callers that obey Retry-After are served.
+// TestRetryAfterIsHonored checks that callers that obey Retry-After are served at
+// least as often as with the baseline's fixed one.
 func TestRetryAfterIsHonored(t *testing.T) {
 	burst := []Team{{Name: "a", Weight: 1, Priority: 5, Rate: 1.5 * service.Capacity(), Deadline: 5 * time.Second, Retries: 1}}
 	got := Admission(PriorityOrder, service, burst, 10*time.Second, seed)["a"]
@@ -87,7 +92,7 @@
 // be used by a single entry, with the age of reports at the current and at the
 // planned size.
 func TestLimitsAcrossEntries(t *testing.T) {
-	for _, lag := range []time.Duration{LagToday, LagPlanned} {
+	for _, lag := range []time.Duration{LagCurrent, LagPlanned} {
 		scenarios := LimitScenarios(lag)
 		for _, name := range Names(scenarios) {
 			got := Limits(scenarios[name], true, seed)
@@ -154,6 +159,8 @@
 	}
 }
 
+// TestFlappingVMCausesBoundedMoves guards against a plan that changes with each of
+// the short failures of one VM.
 func TestFlappingVMCausesBoundedMoves(t *testing.T) {
 	for _, d := range Deployments() {
 		if r := Groups(Traces()["flapping VM"], d.Rows, ByWeights); r.Moves > 4 {
--- a/test/policy/bench/groups.go
+++ b/test/policy/bench/groups.go
@@ -122,6 +122,8 @@
 	}
 }
 
+// decide runs the planner, adopts its plan and counts the moves. Waits, and the time before the trace
+// starts, in which the first groups form, don't count.
 func (fd *fabricDomain) decide(now time.Duration) {
 	in := groups.Input{
 		Plan:        fd.plan,
@@ -152,6 +154,9 @@
 	}
 }
 
+// replicaSpecs returns the rows as input of the planner. It expresses two fixed rules as weights: a
+// negative stranded weight makes waiting cheaper than dissolving, a negligible downtime weight the
+// reverse.
 func (fd *fabricDomain) replicaSpecs() []groups.ReplicaSpec {
 	down, stranded := fd.rows.DowntimeWeight, fd.rows.StrandedWeight
 	switch fd.rule {
@@ -170,6 +175,8 @@
 	return out
 }
 
+// estimates returns the planner's estimates. For AlwaysWait the grace period is longer than any
+// trace, so that no group changes.
 func (fd *fabricDomain) estimates() groups.Estimates {
 	e := groups.DefaultEstimates
 	if fd.rule == AlwaysWait {
@@ -202,6 +209,8 @@
 	}
 }
 
+// measure adds one groupTick to the downtime and stranding of the groups that are not complete and
+// loaded.
 func (fd *fabricDomain) measure(now time.Duration) {
 	serving := make(map[string]int)
 	for _, g := range fd.plan.Groups {
@@ -241,18 +250,18 @@
 		flapping.Failures = append(flapping.Failures, Failure{At: time.Duration(n)*40*time.Second + time.Minute, VM: 5, Duration: 10 * time.Second})
 	}
 	random := rand.New(rand.NewPCG(3, 3))
-	free := make(map[int]time.Duration)
+	healthyFrom := make(map[int]time.Duration)
 	for at := time.Minute; at < 28*time.Minute; at += 20 * time.Second {
 		vm := random.IntN(vms)
-		if free[vm] > at {
+		if healthyFrom[vm] > at {
 			continue
 		}
-		away := time.Duration(20+random.IntN(60)) * time.Second
+		outage := time.Duration(20+random.IntN(60)) * time.Second
 		if random.IntN(10) == 0 {
-			away = 15 * time.Minute
+			outage = 15 * time.Minute
 		}
-		free[vm] = at + away + time.Second
-		mixed.Failures = append(mixed.Failures, Failure{At: at, VM: vm, Duration: away})
+		healthyFrom[vm] = at + outage + time.Second
+		mixed.Failures = append(mixed.Failures, Failure{At: at, VM: vm, Duration: outage})
 	}
 	return map[string]Trace{"single loss": single, "VM restart": restart, "dark fabric domain": dark,
 		"rolling replacement": rolling, "five lost": fiveLost, "flapping VM": flapping, "mixed": mixed}
@@ -273,8 +282,8 @@
 	}
 }
 
-// failuresPerDay is how often the failure of a trace occurs per day: 3,600
-// restarts, 210 losses, and one rack or switch per week.
+// failuresPerDay is the number of times that the failure of each trace occurs per
+// day: 3,600 restarts, 210 losses, and one failure of a rack or a switch per week each.
 var failuresPerDay = map[string]float64{
 	"VM restart":         3600,
 	"single loss":        210,
--- a/test/policy/bench/quota.go
+++ b/test/policy/bench/quota.go
@@ -225,7 +225,7 @@
 
 // Ages of reports: at the current size, and with 28 nodes in a failure domain.
 const (
-	LagToday   = 500 * time.Millisecond
+	LagCurrent = 500 * time.Millisecond
 	LagPlanned = 2500 * time.Millisecond
 )
 
--- a/test/policy/bench/routing.go
+++ b/test/policy/bench/routing.go
@@ -89,7 +89,7 @@
 }
 
 // leastInFlightScorer is a baseline that chooses the upstream with the fewest
-// local requests in flight.
+// local requests in flight, and a random one of several such.
 type leastInFlightScorer struct{ random *rand.Rand }
 
 // Score implements routing.Scorer.
@@ -105,8 +105,10 @@
 	return 0
 }
 
-func policyOf(r Router, random *rand.Rand, generate time.Duration) routing.Policy {
-	p := routing.DefaultPolicy(generate)
+// policyOf returns the routing policy of a router: the product's policy, or the same with a baseline's
+// scorer and, unless it needs the product's, picker. Only the product's scorer uses the mean service time.
+func policyOf(r Router, random *rand.Rand, serviceTime time.Duration) routing.Policy {
+	p := routing.DefaultPolicy(serviceTime)
 	switch r {
 	case Random:
 		p.Scorer, p.Picker = randomScorer{random}, routing.LowestScorePicker{}
@@ -120,10 +122,11 @@
 
 // upstream simulates one engine with slots, a queue and a prompt cache.
 type upstream struct {
-	fault    Fault
-	running  int
-	waiting  []*request
-	cache    *lru.Cache[uint64, bool]
+	fault   Fault
+	running int
+	waiting []*request
+	cache   *lru.Cache[uint64, bool]
+	// reported is the number of running and waiting requests that the router last received.
 	reported int
 }
 
@@ -134,7 +137,7 @@
 	upstream int
 }
 
-// routingRun simulates one policy.
+// routingRun is the state of one simulation: the router, the upstreams and the results so far.
 type routingRun struct {
 	fleet     Fleet
 	policy    routing.Policy
@@ -143,10 +146,12 @@
 	upstreams []*upstream
 	timeline
 	firstTokenTimes []time.Duration
-	hits            int
-	served          int
-	failed          int
-	attempts        int
+	// hits counts requests whose prompt the upstream had cached, attempts the choices of an upstream,
+	// retries included.
+	hits     int
+	served   int
+	failed   int
+	attempts int
 }
 
 // Routing simulates the load on the fleet. Equal seeds give equal arrivals.
--- a/test/policy/bench/shards.go
+++ b/test/policy/bench/shards.go
@@ -22,7 +22,7 @@
 	// Harmful is the number of harmful requests per second.
 	Harmful float64
 	// Load is the rate of the other teams' requests as a fraction of the total
-	// capacity; two large teams send 30 % of it each.
+	// capacity; two large teams send 30 % of that load each.
 	Load float64
 }
 
@@ -35,10 +35,12 @@
 }
 
 const (
-	shardSeconds  = 600
-	slotsPerShard = 10
-	largeTeams    = 2
-	largeShare    = 0.3
+	shardSeconds = 600
+	// capacityPerUpstream is the number of requests per second that an upstream serves.
+	capacityPerUpstream = 10
+	// Each of the largeTeams sends largeShare of the load, the other teams the rest in equal parts.
+	largeTeams = 2
+	largeShare = 0.3
 )
 
 // shardOf returns the team's upstreams by rendezvous hashing.
@@ -52,8 +54,8 @@
 	return all[:perTeam]
 }
 
-// Shards simulates a case in steps of one second: each upstream serves ten
-// requests per second while it is up.
+// Shards simulates a case in steps of one second: each upstream serves
+// capacityPerUpstream requests while it is up.
 func Shards(c ShardCase, seed uint64) ShardResult {
 	random := rand.New(rand.NewPCG(seed, seed))
 	downUntil := make([]int, c.Upstreams)
@@ -70,7 +72,7 @@
 		capacity := make([]int, c.Upstreams)
 		for i := range capacity {
 			if downUntil[i] <= now {
-				capacity[i] = slotsPerShard
+				capacity[i] = capacityPerUpstream
 			}
 		}
 		for _, team := range random.Perm(c.Teams) {
@@ -80,18 +82,18 @@
 		}
 	}
 	out := ShardResult{WorstTeam: 1}
-	totalAsked, totalServed := 0, 0
+	totalRequested, totalServed := 0, 0
 	for team := range requested {
-		totalAsked += requested[team]
+		totalRequested += requested[team]
 		totalServed += served[team]
 		out.WorstTeam = min(out.WorstTeam, float64(served[team])/float64(max(requested[team], 1)))
 	}
-	out.Served = float64(totalServed) / float64(totalAsked)
+	out.Served = float64(totalServed) / float64(totalRequested)
 	return out
 }
 
 func (c ShardCase) demand(team int) int {
-	all := c.Load * float64(c.Upstreams*slotsPerShard)
+	all := c.Load * float64(c.Upstreams*capacityPerUpstream)
 	if team < largeTeams {
 		return int(all * largeShare)
 	}
