--- a/test/policy/plots/main.go
+++ b/test/policy/plots/main.go
@@ -17,12 +17,14 @@
 )
 
 const (
-	seed   = 7
-	length = 120 * time.Second
-	width  = 7 * vg.Inch
-	height = 4 * vg.Inch
+	seed = 7
+	// admissionLength is the simulated time of each point of the admission plot.
+	admissionLength = 120 * time.Second
+	width           = 7 * vg.Inch
+	height          = 4 * vg.Inch
 )
 
+// main draws each plot into the folder that the argument names.
 func main() {
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: plots FOLDER")
@@ -59,7 +61,7 @@
 	for _, policy := range []bench.Policy{bench.PriorityOrder, bench.FirstCome} {
 		small, urgent := plotter.XYs{}, plotter.XYs{}
 		for _, load := range []float64{0.5, 0.75, 1, 1.25, 1.5, 2, 3, 4} {
-			got := bench.Admission(policy, service, bench.OverloadTeams(service, load), length, seed)
+			got := bench.Admission(policy, service, bench.OverloadTeams(service, load), admissionLength, seed)
 			small = append(small, plotter.XY{X: load, Y: got["small"].Goodput()})
 			urgent = append(urgent, plotter.XY{X: load, Y: got["urgent"].Goodput()})
 		}
@@ -93,6 +95,8 @@
 	return nil
 }
 
+// limits draws, for each scenario, the worst 10 s with water-filled shares and how much of the limit
+// water-filled and equal shares use.
 func limits() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "A limit over 8 entries: maximum admitted in 10 s"
@@ -109,6 +113,8 @@
 	})
 }
 
+// routing draws the mean time to the first token of each policy. Bars end at maxShown; the label of
+// the axis gives the value of pure affinity, which exceeds it.
 func routing() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Mean time to the first token"
@@ -126,6 +132,7 @@
 	})
 }
 
+// groups draws the daily cost of each rule as a multiple of the cost of decisions by weights.
 func groups() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Weighted cost of a day's failures, relative to decisions by weights"
