--- a/test/integration/table_test.go
+++ b/test/integration/table_test.go
@@ -397,7 +397,7 @@
 		"malformed JSON":           {request{body: "{"}, 400},
 		"no model":                 {request{body: "{}"}, 400},
 		"unknown service":          {request{service: "nothing"}, 404},
-		"plain service":            {request{service: "tiles"}, 404},
+		"plain service as model":   {request{service: "tiles"}, 404},
 		"unknown plain service":    {request{path: "/services/nothing/x", method: "GET"}, 404},
 		"unknown path":             {request{path: "/v2/x", method: "GET"}, 404},
 		"deadline past":            {request{header: map[string]string{"Marbleroad-Deadline": "2001-01-01T00:00:00Z"}}, 400},
--- a/test/standin/cmd/caller/main.go
+++ b/test/standin/cmd/caller/main.go
@@ -1,5 +1,5 @@
-// Command caller sends one request as a caller would and prints the answer as
-// it comes. It is for the demo and no part of the product.
+// Command caller sends one request as a caller would and prints the response as
+// it arrives. It is used by the demo and is not part of the product.
 package main
 
 import (
@@ -17,10 +17,10 @@
 func main() {
 	key := flag.String("key", "", "bearer key of the team")
 	body := flag.String("body", "", "JSON body; empty sends a GET")
-	patience := flag.Duration("patience", 10*time.Second, "how long refused requests are sent again, each after the time that the answer names")
-	host := flag.String("host", "", "host that the request names; empty for the address")
+	retryWindow := flag.Duration("patience", 10*time.Second, "how long to retry rejected requests, each after the response's Retry-After")
+	host := flag.String("host", "", "Host header of the request; empty for the host of the URL")
 	extra := make(http.Header)
-	flag.Func("header", "further header, NAME: VALUE; repeat for more", func(text string) error {
+	flag.Func("header", "additional header, as NAME: VALUE; may be repeated", func(text string) error {
 		name, value, ok := strings.Cut(text, ":")
 		if !ok {
 			return errors.New("not NAME: VALUE")
@@ -30,40 +30,42 @@
 	})
 	flag.Parse()
 	c := caller{key: *key, body: *body, host: *host, extra: extra}
-	if err := c.persist(flag.Arg(0), *patience); err != nil {
+	if err := c.callWithRetries(flag.Arg(0), *retryWindow); err != nil {
 		fmt.Fprintln(os.Stderr, "caller:", err)
 		os.Exit(1)
 	}
 }
 
-// refusedError is a refusal that says when to come back.
+// refusedError is a rejection that says when to retry.
 type refusedError struct {
-	status string
-	after  time.Duration
+	status     string
+	retryAfter time.Duration
 }
 
 // Error implements error.
-func (e refusedError) Error() string { return "answered " + e.status }
+func (e refusedError) Error() string { return "response status " + e.status }
 
-// persist comes back after refusals, as they say.
-func (c caller) persist(url string, patience time.Duration) error {
-	end := time.Now().Add(patience)
+// callWithRetries sends the request, and sends it again after each rejection's Retry-After until the next retry would
+// fall outside the retry window.
+func (c caller) callWithRetries(url string, retryWindow time.Duration) error {
+	end := time.Now().Add(retryWindow)
 	for {
 		err := c.call(url)
 		var refused refusedError
-		if !errors.As(err, &refused) || time.Now().Add(refused.after).After(end) {
+		if !errors.As(err, &refused) || time.Now().Add(refused.retryAfter).After(end) {
 			return err
 		}
-		time.Sleep(refused.after)
+		time.Sleep(refused.retryAfter)
 	}
 }
 
-// caller is one request to send.
+// caller holds the request to send.
 type caller struct {
 	key, body, host string
 	extra           http.Header
 }
 
+// call sends the request once and prints the response. It returns a refusedError if the response has a Retry-After.
 func (c caller) call(url string) error {
 	method := http.MethodGet
 	if c.body != "" {
@@ -87,13 +89,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && resp.StatusCode != http.StatusOK {
-		return refusedError{status: resp.Status, after: time.Duration(seconds) * time.Second}
+		return refusedError{status: resp.Status, retryAfter: time.Duration(seconds) * time.Second}
 	}
 	if _, err := io.Copy(os.Stdout, resp.Body); err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %s", resp.Status)
+		return fmt.Errorf("response status %s", resp.Status)
 	}
 	return nil
 }
--- a/test/standin/cmd/platformstandin/main.go
+++ b/test/standin/cmd/platformstandin/main.go
@@ -1,6 +1,6 @@
-// Command platformstandin runs the stand-ins of the users' platform for the
-// demo: its store with a configuration, model engines and a plain service on
-// loopback IP numbers. It is no part of the product.
+// Command platformstandin runs the stand-ins for the users' platform for the
+// demo: its store with a configuration, and model engines and a plain service
+// on loopback addresses. It is not part of the product.
 package main
 
 import (
@@ -20,10 +20,10 @@
 
 func main() {
 	listen := flag.String("store", "127.0.0.1:19100", "address of the store")
-	domains := flag.String("domains", "obuda=127.0.4,csepel=127.0.5", "failure domains with the first three numbers of their upstreams' addresses")
+	domains := flag.String("domains", "obuda=127.0.4,csepel=127.0.5", "failure domains, each with the first three octets of its upstreams' addresses")
 	engines := flag.Int("engines", 5, "model VMs in each failure domain")
 	port := flag.Int("port", 18200, "port of the upstreams")
-	limit := flag.Float64("limit", 2, "requests a second that the plain VMs say they take from all nodes together; 0 for no limit")
+	limit := flag.Float64("limit", 2, "limit in requests per second, over all nodes, that each plain VM reports; 0 for no limit")
 	flag.Parse()
 	if err := run(*listen, *domains, *engines, *port, *limit); err != nil {
 		fmt.Fprintln(os.Stderr, "platformstandin:", err)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// add starts a VM, which names a limit unless it is zero.
+// add starts a VM, which reports the limit unless it is zero.
 func add(store *objectstore.Store, c groupengine.Config, domain, address string, limit float64) error {
 	c.Zone, c.Address = domain, address
 	vm := groupengine.New(c, store)
@@ -69,6 +69,7 @@
 	return serve(address, vm)
 }
 
+// serve listens on the address and serves the handler in the background.
 func serve(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// configuration has one streamed model route and one plain route on demo.example.
+// configuration returns the platform's configuration object: a streaming route to a model service and a public
+// idempotent one to a plain service, both on demo.example.
 func configuration() map[string]any {
 	return map[string]any{
 		"version": 1,
--- a/test/standin/cmd/standin/main.go
+++ b/test/standin/cmd/standin/main.go
@@ -1,5 +1,5 @@
 // Command standin runs the stand-ins for the demo: one platform, and model
-// engines and plain services on loopback IP numbers. It is no part of the product.
+// engines and plain services on loopback addresses. It is not part of the product.
 package main
 
 import (
@@ -21,7 +21,7 @@
 
 func main() {
 	listen := flag.String("platform", "127.0.0.1:19000", "address of the platform")
-	domains := flag.String("domains", "obuda=127.0.2,csepel=127.0.3", "failure domains with the first three numbers of their upstreams' addresses")
+	domains := flag.String("domains", "obuda=127.0.2,csepel=127.0.3", "failure domains, each with the first three octets of its upstreams' addresses")
 	engines := flag.Int("engines", 5, "model VMs in each failure domain")
 	port := flag.Int("port", 18100, "port of the upstreams")
 	flag.Parse()
@@ -60,6 +60,7 @@
 	return nil
 }
 
+// add serves a VM's handler and adds the VM to the membership list.
 func add(p *platform.Platform, vm, domain, pool, address string, h http.Handler) error {
 	if err := serve(address, h); err != nil {
 		return err
@@ -68,6 +69,7 @@
 	return nil
 }
 
+// serve listens on the address and serves the handler in the background.
 func serve(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/test/standin/engine/engine.go
+++ b/test/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a small stand-in for a model engine on one VM: continuous
-// batching in outline, streams with sequence numbers, resume and cancel, a
-// prefix cache, a lagging load report, and orders with a fencing token that is
-// checked or ignored by setting. It records what it ran, for checkers.
+// Package engine is a stand-in for a model engine on one VM. It has a limited
+// number of slots, streams with sequence numbers that can be resumed and
+// canceled, a prefix cache, a load report that lags, and orders whose fencing
+// token is checked or ignored. It records its executions for checkers.
 package engine
 
 import (
@@ -22,51 +22,52 @@
 	"github.com/marbleroad/marbleroad/internal/relay"
 )
 
-// Config shapes a stand-in.
+// Config configures a stand-in.
 type Config struct {
-	// Fenced engines refuse orders with an old fencing token.
+	// Fenced makes the engine reject orders with an old fencing token.
 	Fenced bool
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run at once.
 	Slots int
 	// TokenTime is the time between two tokens.
 	TokenTime time.Duration
-	// Prefill is the time before the first token of an uncached prompt.
+	// Prefill is the delay before the first token of an uncached prompt.
 	Prefill time.Duration
-	// Tokens is how many tokens an answer has.
+	// Tokens is the number of tokens of a response.
 	Tokens int
-	// LoadTime is how long a new assignment takes until the VM is ready.
+	// LoadTime is the time from a new assignment until the VM is ready.
 	LoadTime time.Duration
-	// ReportLag is how old the load report is.
+	// ReportLag is the delay after which the load report shows that a run has finished.
 	ReportLag time.Duration
-	// Linger is how long a run goes on without a reader.
+	// Linger is how long a finished run can still be resumed.
 	Linger time.Duration
 }
 
-// DefaultConfig returns a quick engine.
+// DefaultConfig returns the configuration of a fast engine.
 func DefaultConfig() Config {
 	return Config{Fenced: true, Slots: 8, TokenTime: 2 * time.Millisecond, Tokens: 8, Linger: 5 * time.Second}
 }
 
-// Execution is one run that the engine began.
+// Execution is a run that the engine started.
 type Execution struct {
 	RequestID string
 	Key       string
 	Group     string
-	// Generation is the group's generation when the run began.
+	// Generation is the group's generation at the start of the run.
 	Generation uint64
-	// Members are the addresses of the group's VMs, as ordered.
+	// Members are the addresses of the group's VMs, as the order lists them.
 	Members []string
 	// Prompt is the request's body.
 	Prompt string
 }
 
-// run is one answer being made.
+// run is a response that is being generated. The engine's mutex guards it.
 type run struct {
 	id     string
 	events [][]byte
 	done   bool
 	broken bool
-	grown  chan struct{}
+	// updated is closed and replaced at each change.
+	updated chan struct{}
 }
 
 // Engine is the stand-in of one VM.
@@ -74,26 +75,27 @@
 	VM     string
 	config Config
 
-	mu         sync.Mutex
-	order      engine.Order
-	readyAt    time.Time
-	leaving    bool
-	frozen     chan struct{}
-	breakAfter int
-	inFlight   int
-	reported   int
-	queued     int
-	slots      chan struct{}
-	runs       map[string]*run
-	prefixes   map[uint64]bool
-	executions []Execution
-	hits       int
-	orders     []engine.Order
-	onBegin    func(vm string, x Execution)
-	onOrder    func(vm string, o engine.Order)
-}
-
-// New returns the stand-in of a VM that is in no group.
+	mu      sync.Mutex
+	order   engine.Order
+	readyAt time.Time
+	leaving bool
+	// frozen is closed by Thaw; nil while the VM is not frozen.
+	frozen           chan struct{}
+	breakAfter       int
+	inFlight         int
+	reportedInFlight int
+	queued           int
+	slots            chan struct{}
+	runs             map[string]*run
+	prefixes         map[uint64]bool
+	executions       []Execution
+	hits             int
+	orders           []engine.Order
+	onBegin          func(vm string, x Execution)
+	onOrder          func(vm string, o engine.Order)
+}
+
+// New returns the stand-in of a VM that is not in a group.
 func New(vm string, c Config) *Engine {
 	return &Engine{
 		VM:       vm,
@@ -104,28 +106,28 @@
 	}
 }
 
-// Executions returns all runs begun so far.
+// Executions returns all runs that were started so far.
 func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Execution(nil), e.executions...)
 }
 
-// OnBegin sets what is called as a run begins, under the engine's lock.
+// OnBegin sets a function to call at the start of each run. It is called with the engine locked.
 func (e *Engine) OnBegin(f func(vm string, x Execution)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onBegin = f
 }
 
-// OnOrder sets what is called when an order takes effect, under the engine's lock.
+// OnOrder sets a function to call when an order takes effect. It is called with the engine locked.
 func (e *Engine) OnOrder(f func(vm string, o engine.Order)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onOrder = f
 }
 
-// PrefixHits returns how many prompts met a cached prefix.
+// PrefixHits returns the number of prompts whose prefix was cached.
 func (e *Engine) PrefixHits() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,14 +141,14 @@
 	return e.order
 }
 
-// SetLeaving makes the VM say that it wants no new work.
+// SetLeaving sets whether the VM reports that it is leaving.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// SetSpeed changes the time between tokens and before the first.
+// SetSpeed changes Config.Prefill and Config.TokenTime.
 func (e *Engine) SetSpeed(prefill, token time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,7 +156,7 @@
 	e.config.TokenTime = token
 }
 
-// Freeze makes the VM hang on every call until Thaw.
+// Freeze makes every request to the VM hang until Thaw.
 func (e *Engine) Freeze() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,15 +175,14 @@
 	}
 }
 
-// BreakAfter makes the next stream's connection break after n events; the run
-// itself goes on.
+// BreakAfter makes the connection of the next stream break after n events. The run itself continues.
 func (e *Engine) BreakAfter(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.breakAfter = n
 }
 
-// Forget ends all runs, as a restart of the engine does, and releases the VM.
+// Forget simulates a restart of the engine: it stops all runs and drops the order.
 func (e *Engine) Forget() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,20 +190,21 @@
 	e.stopRuns()
 }
 
-// stopRuns breaks all runs. The caller holds the lock.
+// stopRuns removes all runs and breaks the unfinished ones. The caller must hold e.mu.
 func (e *Engine) stopRuns() {
 	for id, r := range e.runs {
 		if !r.done {
 			r.broken = true
 		}
-		r.wake()
+		r.notify()
 		delete(e.runs, id)
 	}
 }
 
-func (r *run) wake() {
-	close(r.grown)
-	r.grown = make(chan struct{})
+// notify wakes all that wait for the run's next change. The caller must hold the engine's mutex.
+func (r *run) notify() {
+	close(r.updated)
+	r.updated = make(chan struct{})
 }
 
 // ServeHTTP implements http.Handler.
@@ -243,7 +245,7 @@
 		Fence:      e.order.Fence,
 		Ready:      e.order.Group != "" && !time.Now().Before(e.readyAt),
 		Leaving:    e.leaving,
-		InFlight:   e.reported,
+		InFlight:   e.reportedInFlight,
 		Queued:     e.queued,
 		Slots:      e.config.Slots,
 	}
@@ -277,8 +279,8 @@
 	}
 }
 
-// infer runs one request. The VM refuses what it is not set up for, before
-// running any of it.
+// infer runs one request. It rejects the request as not run if the VM isn't the ready head of the group and
+// generation that the request names.
 func (e *Engine) infer(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -290,32 +292,33 @@
 	_ = json.Unmarshal(body, &request)
 	id := r.Header.Get(relay.RequestIDHeader)
 	w.Header().Set(relay.RequestIDHeader, id)
-	one, refused := e.begin(r, id, body)
+	active, refused := e.startRun(r, id, body)
 	if refused {
 		w.Header().Set(relay.RefusedHeader, "not-run")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set(relay.RunIDHeader, one.id)
-	go e.produce(one, id, body)
+	w.Header().Set(relay.RunIDHeader, active.id)
+	go e.produce(active, id, body)
 	if request.Stream {
 		e.mu.Lock()
 		breakAfter := e.breakAfter
 		e.breakAfter = 0
 		e.mu.Unlock()
-		e.stream(w, r, one, 0, breakAfter)
+		e.stream(w, r, active, 0, breakAfter)
 		return
 	}
-	e.whole(w, r, one, id)
+	e.respondComplete(w, r, active, id)
 }
 
-func (e *Engine) begin(r *http.Request, id string, body []byte) (*run, bool) {
+// startRun records the execution and returns its run, or reports that the request must be rejected.
+func (e *Engine) startRun(r *http.Request, id string, body []byte) (*run, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	group := r.Header.Get(relay.GroupHeader)
 	generation := r.Header.Get(relay.GenerationHeader)
-	wrong := group != e.order.Group || generation != strconv.FormatUint(e.order.Generation, 10)
-	if wrong || e.order.Rank != 0 || time.Now().Before(e.readyAt) {
+	mismatch := group != e.order.Group || generation != strconv.FormatUint(e.order.Generation, 10)
+	if mismatch || e.order.Rank != 0 || time.Now().Before(e.readyAt) {
 		return nil, true
 	}
 	x := Execution{
@@ -330,19 +333,20 @@
 	if e.onBegin != nil {
 		e.onBegin(e.VM, x)
 	}
-	one := &run{id: strings.ToLower(ulid.Make().String()), grown: make(chan struct{})}
-	e.runs[one.id] = one
+	active := &run{id: strings.ToLower(ulid.Make().String()), updated: make(chan struct{})}
+	e.runs[active.id] = active
 	e.inFlight++
-	return one, false
+	return active, false
 }
 
-// Token returns the text of an answer's nth token: it names the request, so
-// that a checker sees answers that were mixed up.
+// Token returns the text of the nth token of a response. It contains the request's ID, so that a checker detects
+// mixed up responses.
 func Token(requestID string, n int) string {
 	return fmt.Sprintf("%s.%d ", requestID, n)
 }
 
-func (e *Engine) produce(one *run, id string, body []byte) {
+// produce generates the response once a slot is free.
+func (e *Engine) produce(active *run, id string, body []byte) {
 	e.mu.Lock()
 	e.queued++
 	e.mu.Unlock()
@@ -363,64 +367,67 @@
 	for n := 1; n <= c.Tokens; n++ {
 		time.Sleep(c.TokenTime)
 		chunk := fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":%q}}]}`, id, Token(id, n))
-		if !e.emit(one, chunk, false) {
+		if !e.emit(active, chunk, false) {
 			break
 		}
 	}
-	e.emit(one, "[DONE]", true)
+	e.emit(active, "[DONE]", true)
 	<-e.slots
 	e.mu.Lock()
 	e.inFlight--
-	now := e.inFlight
+	inFlight := e.inFlight
 	e.mu.Unlock()
 	time.AfterFunc(c.ReportLag, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.reported = now
+		e.reportedInFlight = inFlight
 	})
 	time.AfterFunc(c.Linger, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.runs, one.id)
+		delete(e.runs, active.id)
 	})
 }
 
-func (e *Engine) emit(one *run, data string, last bool) bool {
+// emit appends an event to the run and reports whether the run is still alive.
+func (e *Engine) emit(active *run, data string, last bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if one.broken {
+	if active.broken {
 		return false
 	}
-	event := fmt.Sprintf("id: %d\ndata: %s\n\n", len(one.events)+1, data)
-	one.events = append(one.events, []byte(event))
-	one.done = last
-	one.wake()
+	event := fmt.Sprintf("id: %d\ndata: %s\n\n", len(active.events)+1, data)
+	active.events = append(active.events, []byte(event))
+	active.done = last
+	active.notify()
 	return true
 }
 
-// next waits for the run's events after the given number.
-func (e *Engine) next(r *http.Request, one *run, after int) (events [][]byte, done, broken bool) {
+// awaitEvents waits for events after the given number and returns them. A canceled request counts as broken.
+func (e *Engine) awaitEvents(r *http.Request, active *run, after int) (events [][]byte, done, broken bool) {
 	for {
 		e.mu.Lock()
-		events, done, broken = one.events[min(after, len(one.events)):], one.done, one.broken
-		grown := one.grown
+		events, done, broken = active.events[min(after, len(active.events)):], active.done, active.broken
+		updated := active.updated
 		e.mu.Unlock()
 		if len(events) > 0 || done || broken {
 			return events, done, broken
 		}
 		select {
-		case <-grown:
+		case <-updated:
 		case <-r.Context().Done():
 			return nil, false, true
 		}
 	}
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, one *run, after, breakAfter int) {
+// stream sends the events after the given number. If breakAfter is positive it breaks the connection after that many
+// events.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, active *run, after, breakAfter int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
 	for {
-		events, done, broken := e.next(r, one, after)
+		events, done, broken := e.awaitEvents(r, active, after)
 		for _, ev := range events {
 			_, _ = w.Write(ev)
 			after++
@@ -439,10 +446,11 @@
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, one *run, id string) {
+// respondComplete waits until the run is done and sends all its tokens in one JSON response.
+func (e *Engine) respondComplete(w http.ResponseWriter, r *http.Request, active *run, id string) {
 	after := 0
 	for {
-		events, done, broken := e.next(r, one, after)
+		events, done, broken := e.awaitEvents(r, active, after)
 		after += len(events)
 		if broken {
 			panic(http.ErrAbortHandler)
@@ -463,22 +471,22 @@
 	id := strings.TrimPrefix(r.URL.Path, relay.ResumePath)
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	e.mu.Lock()
-	one := e.runs[id]
+	active := e.runs[id]
 	e.mu.Unlock()
-	if one == nil || err != nil || after < 0 {
+	if active == nil || err != nil || after < 0 {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	w.Header().Set(relay.RunIDHeader, id)
-	e.stream(w, r, one, after, 0)
+	e.stream(w, r, active, after, 0)
 }
 
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if one := e.runs[id]; one != nil {
-		one.broken = true
-		one.wake()
+	if active := e.runs[id]; active != nil {
+		active.broken = true
+		active.notify()
 		delete(e.runs, id)
 	}
 }
--- a/test/standin/faultproxy/faultproxy.go
+++ b/test/standin/faultproxy/faultproxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a TCP proxy that injects faults: cuts, one-way cuts,
-// delays, freezes, and answers that are lost after the request got through.
+// Package faultproxy is a TCP proxy that injects faults: refused connections,
+// delays, stalls, and requests or responses that are lost.
 package faultproxy
 
 import (
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Mode is what happens to the bytes.
+// Mode says what happens to connections and their bytes.
 type Mode int
 
 const (
-	// Pass lets all bytes through.
+	// Pass forwards all bytes.
 	Pass Mode = iota
-	// Refuse closes new connections and breaks the present ones.
+	// Refuse closes new and existing connections.
 	Refuse
-	// Freeze holds all bytes back, both ways, and accepts new connections.
+	// Freeze accepts new connections and delays all bytes, in both directions, until the mode changes.
 	Freeze
-	// LoseAnswers lets requests through and drops the bytes of the answers.
+	// LoseAnswers forwards the bytes of requests and drops those of responses.
 	LoseAnswers
-	// LoseRequests drops the bytes of the requests.
+	// LoseRequests drops the bytes of requests.
 	LoseRequests
 )
 
-// Proxy forwards one listening address to one target. Faults hold for all
-// callers, or for those from one IP number.
+// Proxy forwards connections to a listening address to a target. Faults apply to all clients or to those from one IP
+// address.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -35,17 +35,18 @@
 	mode  Mode
 	from  map[string]Mode
 	delay time.Duration
-	freed chan struct{}
-	// links maps each connection to the link that it is an end of.
+	// changed is closed and replaced when a mode changes.
+	changed chan struct{}
+	// links maps each connection, of the client or to the target, to its link.
 	links map[net.Conn]*link
 }
 
-// link is a caller's connection and the one to the target. The proxy's mutex guards it.
+// link is a pair of connections, the client's and the one to the target. The proxy's mutex guards it.
 type link struct {
-	// ip is the caller's IP number.
+	// ip is the client's IP address.
 	ip string
-	// silent drops all bytes, both ways, while the connections stay open.
-	silent bool
+	// blackholed drops all bytes, in both directions, while the connections stay open.
+	blackholed bool
 }
 
 // New listens on the address and forwards to the target.
@@ -54,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: l, links: make(map[net.Conn]*link), from: make(map[string]Mode), freed: make(chan struct{})}
+	p := &Proxy{target: target, listener: l, links: make(map[net.Conn]*link), from: make(map[string]Mode), changed: make(chan struct{})}
 	go p.accept()
 	return p, nil
 }
@@ -62,58 +63,60 @@
 // Address returns the listening address.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Refuse also breaks the present connections.
+// Set changes the mode for all clients. Refuse also closes the existing connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	p.wake()
+	p.notify()
 	if m == Refuse {
-		p.breakAll("")
+		p.closeLinks("")
 	}
 }
 
-// SetFrom changes the mode for callers from one IP number; Pass lifts it.
+// SetFrom changes the mode for clients from one IP address. Pass restores the common mode.
 func (p *Proxy) SetFrom(ip string, m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.from[ip] = m
-	p.wake()
+	p.notify()
 	if m == Refuse {
-		p.breakAll(ip)
+		p.closeLinks(ip)
 	}
 }
 
-func (p *Proxy) wake() {
-	close(p.freed)
-	p.freed = make(chan struct{})
+// notify wakes the links that wait for a change of mode. The caller must hold p.mu.
+func (p *Proxy) notify() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// SetDelay delays each piece of data, both ways.
+// SetDelay delays each chunk of data, in both directions.
 func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Silence has the present connections fall silent for good, without a reset; new ones
-// are not touched.
+// Silence drops all further bytes of the existing connections without closing them. New connections are not affected.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
-		l.silent = true
+		l.blackholed = true
 	}
 }
 
-// Break breaks the present connections once.
+// Break closes the existing connections.
 func (p *Proxy) Break() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.breakAll("")
+	p.closeLinks("")
 }
 
-func (p *Proxy) breakAll(ip string) {
+// closeLinks closes the connections of clients from the IP address; of all clients if it is empty. The caller must
+// hold p.mu.
+func (p *Proxy) closeLinks(ip string) {
 	for c, l := range p.links {
 		if ip == "" || ip == l.ip {
 			_ = c.Close()
@@ -121,7 +124,7 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops listening and closes all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Set(Refuse)
@@ -137,23 +140,24 @@
 	}
 }
 
-// fault is what happens to the bytes of one link now.
-type fault struct {
+// linkState holds the faults that apply to a link.
+type linkState struct {
 	mode  Mode
 	delay time.Duration
 	// freed is closed when the mode changes.
-	freed  chan struct{}
-	silent bool
+	changed    chan struct{}
+	blackholed bool
 }
 
-func (p *Proxy) fault(l *link) fault {
+// stateOf returns the faults that currently apply to the link.
+func (p *Proxy) stateOf(l *link) linkState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := fault{mode: p.mode, delay: p.delay, freed: p.freed, silent: l.silent}
+	state := linkState{mode: p.mode, delay: p.delay, changed: p.changed, blackholed: l.blackholed}
 	if m := p.from[l.ip]; m != Pass {
-		f.mode = m
+		state.mode = m
 	}
-	return f
+	return state
 }
 
 func (p *Proxy) track(c net.Conn, l *link) {
@@ -172,40 +176,40 @@
 	defer func() { _ = c.Close() }()
 	ip, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	l := &link{ip: ip}
-	if p.fault(l).mode == Refuse {
+	if p.stateOf(l).mode == Refuse {
 		return
 	}
-	up, err := net.Dial("tcp", p.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = up.Close() }()
+	defer func() { _ = upstream.Close() }()
 	p.track(c, l)
-	p.track(up, l)
+	p.track(upstream, l)
 	defer p.untrack(c)
-	defer p.untrack(up)
+	defer p.untrack(upstream)
 	done := make(chan struct{}, 2)
-	go func() { p.copy(up, c, l, LoseRequests); done <- struct{}{} }()
-	go func() { p.copy(c, up, l, LoseAnswers); done <- struct{}{} }()
+	go func() { p.copy(upstream, c, l, LoseRequests); done <- struct{}{} }()
+	go func() { p.copy(c, upstream, l, LoseAnswers); done <- struct{}{} }()
 	<-done
 }
 
-// copy moves bytes one way; lost is the mode in which they are dropped.
-func (p *Proxy) copy(into io.Writer, from io.Reader, l *link, lost Mode) {
-	const size = 32 << 10
-	buf := make([]byte, size)
+// copy copies bytes in one direction until either connection closes. It drops them while the mode is dropMode.
+func (p *Proxy) copy(dst io.Writer, src io.Reader, l *link, dropMode Mode) {
+	const bufferBytes = 32 << 10
+	buf := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(buf)
-		f := p.fault(l)
-		for f.mode == Freeze {
-			<-f.freed
-			f = p.fault(l)
+		n, err := src.Read(buf)
+		state := p.stateOf(l)
+		for state.mode == Freeze {
+			<-state.changed
+			state = p.stateOf(l)
 		}
-		if f.delay > 0 {
-			time.Sleep(f.delay)
+		if state.delay > 0 {
+			time.Sleep(state.delay)
 		}
-		if n > 0 && f.mode != lost && !f.silent {
-			if _, err := into.Write(buf[:n]); err != nil {
+		if n > 0 && state.mode != dropMode && !state.blackholed {
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
--- a/test/standin/groupengine/groupengine.go
+++ b/test/standin/groupengine/groupengine.go
@@ -1,6 +1,7 @@
-// Package groupengine is a small stand-in for the users' platform's upstream
-// VMs: model engines that form groups by orders and answer with streams, and
-// plain services. Each VM is an HTTP handler that writes its own entry.
+// Package groupengine is a stand-in for the upstream VMs of the users'
+// platform: model engines that form groups by orders and respond with streams,
+// and plain services. Each VM is an HTTP handler that writes its own entry to
+// the store.
 package groupengine
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/marbleroad/marbleroad/test/standin/objectstore"
 )
 
-// Group is a VM's place on the wire.
+// Group is a VM's membership in a group, as it is sent.
 type Group struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
@@ -28,6 +29,7 @@
 	Name string `json:"name"`
 }
 
+// entry is a VM's object in the store.
 type entry struct {
 	Service string   `json:"service"`
 	Addr    string   `json:"addr"`
@@ -44,28 +46,30 @@
 	Born    int64    `json:"born"`
 }
 
-// Config says what a VM is.
+// Config configures a VM.
 type Config struct {
 	ID, Service, Address, Zone, Domain string
-	// Load is how long any join or copy takes.
+	// Load is the time that a join takes until the VM is ready, and the staging of a model.
 	Load time.Duration
-	// Events and Pause shape the streams; Events 0 is a plain service, which takes Work.
+	// Events is the number of events of a stream. 0 makes the VM a plain service.
 	Events int
-	Pause  time.Duration
-	Work   time.Duration
-	// Observe is told what happens here, before it is answered; nil for nobody. It is told of
-	// BecameReady while the VM is locked.
+	// Pause is the time between two events.
+	Pause time.Duration
+	// Work is how long a request to a plain service takes.
+	Work time.Duration
+	// Observe is called for each observation, before the response is sent; nil for none. It is called for
+	// BecameReady with the VM locked.
 	Observe func(Observation)
-	// Member finds another VM by its ID; nil for one that is gone. With it a head stands
-	// still while a member is lost, and breaks after StallBound. Nil for heads that never do.
+	// Member returns another VM by its ID, nil for one that was removed. If it is set, a head stalls its streams
+	// while a member is lost and breaks after StallBound.
 	Member     func(id string) *VM
 	StallBound time.Duration
 }
 
-// Kind is what an Observation tells.
+// Kind is the kind of an Observation.
 type Kind uint8
 
-// The kinds. Arrived and Ended frame every request, Ran comes between if it began to run.
+// The kinds. Every request is observed as Arrived first and as Ended last, with Ran between them if it was executed.
 const (
 	Arrived Kind = iota
 	Ran
@@ -75,18 +79,18 @@
 	Opened
 )
 
-// Observation is one thing that happened at a VM.
+// Observation is an event at a VM.
 type Observation struct {
 	Kind Kind
 	At   time.Time
 	VM   string
-	// Request is the request's ID, Target what it asked for, From the sender's IP number.
+	// Request is the request's ID, Target its path and query, From the sender's IP address.
 	Request, Target, From string
-	// Group, Epoch and Members are the VM's place, after the order for Joined and Opened.
+	// Group, Epoch and Members are the VM's group; the one after the order for Joined and Opened.
 	Group   string
 	Epoch   uint64
 	Members []string
-	// Old is the place that a join replaced, and OldMembers its VMs.
+	// Old is the VM's group before a join or open order, and OldMembers its VMs.
 	Old        Group
 	OldMembers []string
 }
@@ -95,38 +99,41 @@
 type VM struct {
 	config Config
 	store  *objectstore.Store
-	// Ran counts the requests that began to run; Asked all that came.
-	Ran   atomic.Int64
+	// Ran counts the requests that were executed.
+	Ran atomic.Int64
+	// Asked counts all requests that were received.
 	Asked atomic.Int64
-	// Refuse has every request refused as not run.
+	// Refuse makes the VM reject every request as not run.
 	Refuse atomic.Bool
-	// CutAfter ends each stream in the middle of the event after that many; 0 for none.
+	// CutAfter is the number of complete events after which each stream breaks, in the middle of the next event; 0
+	// for never.
 	CutAfter atomic.Int64
-	// Stall stops each stream for good after that many events; 0 for none.
+	// Stall is the number of events after which each stream stalls; 0 for never.
 	Stall atomic.Int64
-	// StallFor is how long such a stream stands still before it goes on, nanoseconds; 0 for good.
+	// StallFor is how long a stream stalls before it continues, in nanoseconds; 0 for good.
 	StallFor atomic.Int64
-	// ForeignID has answers carry another request's ID.
+	// ForeignID makes responses carry the ID of another request.
 	ForeignID atomic.Bool
-	// Condition is what the VM says of itself in the headers of all answers to requests; nil for nothing.
+	// Condition holds headers with the VM's condition that are added to all responses to requests; nil for none.
 	Condition atomic.Pointer[http.Header]
 
 	mu sync.Mutex
-	// born is when this life began, in Unix milliseconds; written counts its entries.
-	born     int64
-	written  uint64
-	accepted uint64
-	group    *Group
-	members  []string
-	model    string
-	staged   []string
-	draining bool
-	// left is true once the VM's entry is gone for good.
-	left bool
-	// lostAt is since when the head of an open group misses a member; zero when it does not.
-	lostAt  time.Time
-	headers []http.Header
-	targets []string
+	// born is the start time of the incarnation, in Unix milliseconds.
+	born int64
+	// entriesWritten and ordersAccepted count since the start of the incarnation.
+	entriesWritten uint64
+	ordersAccepted uint64
+	group          *Group
+	members        []string
+	model          string
+	staged         []string
+	draining       bool
+	// entryDeleted is true once the VM's entry was deleted for good.
+	entryDeleted bool
+	// memberLostAt is since when the head of an open group misses a member; zero if the group is complete.
+	memberLostAt time.Time
+	headers      []http.Header
+	targets      []string
 }
 
 // New returns a VM and writes its entry.
@@ -138,19 +145,19 @@
 	return v
 }
 
-// StartAgain ends the VM's life and begins another one under the same ID, which knows
-// nothing of before; copies on the host stay. Unless told, the new life writes no entry.
-func (v *VM) StartAgain(tell bool) {
+// StartAgain restarts the VM: a new incarnation under the same ID loses all state but the models staged on the host.
+// It writes an entry only if publish is set.
+func (v *VM) StartAgain(publish bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.born = max(time.Now().UnixMilli(), v.born+1)
-	v.written, v.accepted, v.group, v.members, v.model, v.draining = 0, 0, nil, nil, "", false
-	if tell {
+	v.entriesWritten, v.ordersAccepted, v.group, v.members, v.model, v.draining = 0, 0, nil, nil, "", false
+	if publish {
 		v.publish()
 	}
 }
 
-// Drain has the VM report that it leaves.
+// Drain makes the VM report that it is draining.
 func (v *VM) Drain() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -158,15 +165,15 @@
 	v.publish()
 }
 
-// In reports whether the VM has been ready in the group and is still in it.
+// In reports whether the VM is in the group and has finished joining it.
 func (v *VM) In(group string, epoch uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.group != nil && v.group.Name == group && v.group.Epoch == epoch && v.group.State != "joining"
 }
 
-// Watch judges once whether the VM, as a head, still has its members. The owner calls it
-// several times a second.
+// Watch checks, if the VM is the head of an open group, whether the group's members are still in it, and breaks the
+// group once a member has been lost for StallBound. The test must call it several times a second.
 func (v *VM) Watch(now time.Time) {
 	v.mu.Lock()
 	g, members := v.group, v.members
@@ -174,35 +181,35 @@
 	if v.config.Member == nil || g == nil || g.State != "open" {
 		return
 	}
-	whole := true
+	complete := true
 	for _, id := range members {
 		member := v.config.Member(id)
-		whole = whole && member != nil && member.In(g.Name, g.Epoch)
+		complete = complete && member != nil && member.In(g.Name, g.Epoch)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
 	case v.group != g:
-	case whole:
-		v.lostAt = time.Time{}
-	case v.lostAt.IsZero():
-		v.lostAt = now
-	case now.Sub(v.lostAt) > v.config.StallBound:
+	case complete:
+		v.memberLostAt = time.Time{}
+	case v.memberLostAt.IsZero():
+		v.memberLostAt = now
+	case now.Sub(v.memberLostAt) > v.config.StallBound:
 		broken := *g
 		broken.State = "broken"
-		v.group, v.lostAt = &broken, time.Time{}
+		v.group, v.memberLostAt = &broken, time.Time{}
 		v.publish()
 	}
 }
 
-// standing reports whether the head stands still, and whether it has broken.
-func (v *VM) standing() (still, broken bool) {
+// stallState reports whether the head stalls its streams, and whether it has broken.
+func (v *VM) stallState() (stalled, broken bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.lostAt.IsZero(), v.group == nil || v.group.State == "broken"
+	return !v.memberLostAt.IsZero(), v.group == nil || v.group.State == "broken"
 }
 
-// observe tells what happened.
+// observe passes an observation to Config.Observe.
 func (v *VM) observe(o Observation) {
 	if v.config.Observe == nil {
 		return
@@ -211,8 +218,8 @@
 	v.config.Observe(o)
 }
 
-// place is the VM's place as an observation.
-func (v *VM) place(k Kind) Observation {
+// groupObservation returns an observation with the VM's current group.
+func (v *VM) groupObservation(k Kind) Observation {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	o := Observation{Kind: k, Members: v.members}
@@ -222,15 +229,15 @@
 	return o
 }
 
-// Leave takes the VM's entry away for good, without a word before; the VM serves on.
+// Leave deletes the VM's entry for good, without a drain before. The VM continues to serve.
 func (v *VM) Leave() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.left = true
+	v.entryDeleted = true
 	v.store.Delete("servers", v.config.ID)
 }
 
-// State is the VM's state in its group; empty for none.
+// State returns the VM's state in its group, or an empty string if it has none.
 func (v *VM) State() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -240,7 +247,7 @@
 	return v.group.State
 }
 
-// Rank is the VM's rank in its group, -1 for none.
+// Rank returns the VM's rank in its group, or -1 if it has none.
 func (v *VM) Rank() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -250,20 +257,21 @@
 	return v.group.Rank
 }
 
-// Requests returns the headers and targets of the requests that came.
+// Requests returns the headers and targets of the requests that were received.
 func (v *VM) Requests() ([]http.Header, []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]http.Header(nil), v.headers...), append([]string(nil), v.targets...)
 }
 
+// publish writes the VM's entry to the store. The caller must hold v.mu.
 func (v *VM) publish() {
-	if v.left {
+	if v.entryDeleted {
 		return
 	}
 	e := entry{Service: v.config.Service, Addr: v.config.Address, Zone: v.config.Zone, Slots: 8, State: "ready",
-		Domain: v.config.Domain, Staged: v.staged, Models: []model{}, Group: v.group, Version: "v1", Seq: v.written, Born: v.born}
-	v.written++
+		Domain: v.config.Domain, Staged: v.staged, Models: []model{}, Group: v.group, Version: "v1", Seq: v.entriesWritten, Born: v.born}
+	v.entriesWritten++
 	if v.draining {
 		e.State = "draining"
 	}
@@ -275,7 +283,7 @@
 
 // ServeHTTP implements http.Handler.
 func (v *VM) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if want := r.Header.Get("Expect-Instance"); want != "" && want != v.config.ID {
+	if expected := r.Header.Get("Expect-Instance"); expected != "" && expected != v.config.ID {
 		w.Header().Set("Instance-Id", v.config.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -290,8 +298,8 @@
 	}
 }
 
-// tellCondition adds what the VM says of itself.
-func (v *VM) tellCondition(h http.Header) {
+// addConditionHeaders adds the headers with the VM's condition.
+func (v *VM) addConditionHeaders(h http.Header) {
 	if condition := v.Condition.Load(); condition != nil {
 		maps.Copy(h, *condition)
 	}
@@ -304,7 +312,7 @@
 	if v.model != "" {
 		models = append(models, model{v.model})
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"seq": v.accepted, "born": v.born, "queued": 0, "active": 0, "pace": 1,
+	_ = json.NewEncoder(w).Encode(map[string]any{"seq": v.ordersAccepted, "born": v.born, "queued": 0, "active": 0, "pace": 1,
 		"staged": v.staged, "models": models, "group": v.group})
 }
 
@@ -323,59 +331,61 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, seen := v.take(o)
+	status, observation := v.handleOrder(o)
 	if status == http.StatusAccepted && (o.Op == "join" || o.Op == "open") {
-		v.observe(seen)
+		v.observe(observation)
 	}
 	w.WriteHeader(status)
 }
 
-// take carries an order out if it fits, and returns what is to be told of it.
-func (v *VM) take(o order) (int, Observation) {
+// handleOrder applies an order if its expected count matches, and returns the response's status and the observation
+// of a join or open order.
+func (v *VM) handleOrder(o order) (int, Observation) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if o.Expected != nil && *o.Expected != v.accepted {
+	if o.Expected != nil && *o.Expected != v.ordersAccepted {
 		return http.StatusConflict, Observation{}
 	}
-	seen := Observation{Kind: Opened, OldMembers: v.members}
+	observation := Observation{Kind: Opened, OldMembers: v.members}
 	if o.Op == "join" {
-		seen.Kind = Joined
+		observation.Kind = Joined
 	}
 	if v.group != nil {
-		seen.Old = *v.group
+		observation.Old = *v.group
 	}
-	status := v.obey(o)
+	status := v.applyOrder(o)
 	if status != http.StatusConflict {
-		v.accepted++
+		v.ordersAccepted++
 		v.publish()
 	}
-	seen.Group, seen.Epoch, seen.Members = o.Group, o.Epoch, v.members
-	return status, seen
+	observation.Group, observation.Epoch, observation.Members = o.Group, o.Epoch, v.members
+	return status, observation
 }
 
-func (v *VM) obey(o order) int {
-	mine := v.group != nil && v.group.Name == o.Group && v.group.Epoch == o.Epoch
+// applyOrder applies an order to the VM's group and returns the response's status. The caller must hold v.mu.
+func (v *VM) applyOrder(o order) int {
+	matches := v.group != nil && v.group.Name == o.Group && v.group.Epoch == o.Epoch
 	switch o.Op {
 	case "join":
 		v.join(o)
 		return http.StatusAccepted
 	case "stage":
-		v.after(v.config.Load, func() { v.staged = []string{o.Model} })
+		v.afterDelay(v.config.Load, func() { v.staged = []string{o.Model} })
 		return http.StatusAccepted
 	case "open":
-		if !mine || v.group.State != "ready" {
+		if !matches || v.group.State != "ready" {
 			return http.StatusConflict
 		}
 		v.group.State = "open"
 		return http.StatusAccepted
 	case "close":
-		if !mine || v.group.State != "open" {
+		if !matches || v.group.State != "open" {
 			return http.StatusConflict
 		}
 		v.group.State = "ready"
 		return http.StatusAccepted
 	case "leave":
-		if !mine {
+		if !matches {
 			return http.StatusConflict
 		}
 		v.group, v.members = nil, nil
@@ -384,6 +394,7 @@
 	return http.StatusConflict
 }
 
+// join puts the VM into the order's group, where it becomes ready after Config.Load. The caller must hold v.mu.
 func (v *VM) join(o order) {
 	rank := 0
 	for i, id := range o.Members {
@@ -393,7 +404,7 @@
 	}
 	g := &Group{Name: o.Group, Epoch: o.Epoch, Rank: rank, State: "joining"}
 	v.group, v.members, v.model = g, o.Members, o.Model
-	v.after(v.config.Load, func() {
+	v.afterDelay(v.config.Load, func() {
 		if v.group == g {
 			ready := *g
 			ready.State = "ready"
@@ -404,8 +415,8 @@
 	})
 }
 
-// after runs a change of the VM's state later and publishes it.
-func (v *VM) after(d time.Duration, change func()) {
+// afterDelay changes the VM's state after a delay and publishes it.
+func (v *VM) afterDelay(d time.Duration, change func()) {
 	time.AfterFunc(d, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
@@ -418,31 +429,31 @@
 	v.Asked.Add(1)
 	id := r.Header.Get("Attempt-Id")
 	from, _, _ := strings.Cut(r.RemoteAddr, ":")
-	tell := func(k Kind) {
-		o := v.place(k)
+	observeRequest := func(k Kind) {
+		o := v.groupObservation(k)
 		o.Request, o.Target, o.From = id, r.RequestURI, from
 		v.observe(o)
 	}
-	tell(Arrived)
-	defer tell(Ended)
+	observeRequest(Arrived)
+	defer observeRequest(Ended)
 	v.mu.Lock()
 	v.headers = append(v.headers, r.Header.Clone())
 	v.targets = append(v.targets, r.RequestURI)
 	open := v.config.Events == 0 || (v.group != nil && v.group.State == "open" && v.group.Rank == 0)
 	v.mu.Unlock()
-	echo := id
+	echoedID := id
 	if v.ForeignID.Load() {
-		echo = "someone-elses"
+		echoedID = "someone-elses"
 	}
-	w.Header().Set("Attempt-Id", echo)
-	v.tellCondition(w.Header())
+	w.Header().Set("Attempt-Id", echoedID)
+	v.addConditionHeaders(w.Header())
 	if v.Refuse.Load() || !open {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	v.Ran.Add(1)
-	tell(Ran)
+	observeRequest(Ran)
 	w.Header().Set("Response-Seal", "seal-of-"+v.config.ID)
 	if v.config.Events == 0 {
 		time.Sleep(v.config.Work)
--- a/test/standin/groupengine/stream.go
+++ b/test/standin/groupengine/stream.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// stream answers with events, from the one after the caller's last.
+// stream sends the events after the one that Last-Event-Id names, and injects the configured faults.
 func (v *VM) stream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	sent := int64(0)
-	for i := from + 1; i <= v.eventsOf(r); i++ {
+	for i := from + 1; i <= v.eventCount(r); i++ {
 		if n := v.CutAfter.Load(); n > 0 && sent >= n {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: half", i)
 			_ = flush.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		if n := v.Stall.Load(); n > 0 && sent >= n {
-			if !v.standStill(r, sent == n) {
+			if !v.stall(r, sent == n) {
 				return
 			}
 		}
-		if !v.waitWhole(r) {
+		if !v.awaitMembers(r) {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s %s\n\n", i, r.Header.Get("Attempt-Id"), strings.Repeat("x", 20)); err != nil {
@@ -37,22 +37,23 @@
 	}
 }
 
-// eventsOf is how many events the stream has: those that its query asks for, or the usual number.
-func (v *VM) eventsOf(r *http.Request) int {
-	if asked, err := strconv.Atoi(r.URL.Query().Get(EventsQuery)); err == nil {
-		return asked
+// eventCount returns the number of events of a stream: that of the query, or else Config.Events.
+func (v *VM) eventCount(r *http.Request) int {
+	if requested, err := strconv.Atoi(r.URL.Query().Get(EventsQuery)); err == nil {
+		return requested
 	}
 	return v.config.Events
 }
 
-// EventsQuery is the query field by which a stream asks for a number of events.
+// EventsQuery is the query parameter that sets the number of events of a stream.
 const EventsQuery = "events"
 
-// standStill has a stream stand still, once unless for good; false when its caller left.
-func (v *VM) standStill(r *http.Request, first bool) bool {
-	length := time.Duration(v.StallFor.Load())
+// stall stalls a stream for StallFor at its first call, or for good if StallFor is 0. It returns false if the caller
+// disconnected.
+func (v *VM) stall(r *http.Request, first bool) bool {
+	duration := time.Duration(v.StallFor.Load())
 	switch {
-	case length == 0:
+	case duration == 0:
 		<-r.Context().Done()
 		return false
 	case !first:
@@ -61,31 +62,31 @@
 	select {
 	case <-r.Context().Done():
 		return false
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// standInterval is how often a stream looks whether its head goes on.
-const standInterval = 20 * time.Millisecond
+// memberCheckInterval is how often a stalled stream checks whether its head may continue.
+const memberCheckInterval = 20 * time.Millisecond
 
-// waitWhole waits while the head stands still; false when it broke or the caller left.
-func (v *VM) waitWhole(r *http.Request) bool {
+// awaitMembers waits while the head misses a member. It returns false if the head broke or the caller disconnected.
+func (v *VM) awaitMembers(r *http.Request) bool {
 	if v.config.Member == nil {
 		return true
 	}
 	for {
-		still, broken := v.standing()
+		stalled, broken := v.stallState()
 		if broken {
 			return false
 		}
-		if !still {
+		if !stalled {
 			return true
 		}
 		select {
 		case <-r.Context().Done():
 			return false
-		case <-time.After(standInterval):
+		case <-time.After(memberCheckInterval):
 		}
 	}
 }
--- a/test/standin/objectstore/objectstore.go
+++ b/test/standin/objectstore/objectstore.go
@@ -1,6 +1,6 @@
-// Package objectstore is a small stand-in for the users' platform's store, as
-// far as the tests need it: kinds of objects, one revision counter, conditional
-// writes, watches over a bounded history, and outages.
+// Package objectstore is a stand-in for the store of the users' platform. It
+// has kinds of objects, one revision counter, conditional writes, watches over
+// a history that can be dropped, and outages.
 package objectstore
 
 import (
@@ -13,21 +13,22 @@
 	"time"
 )
 
-// Path is where objects are.
+// Path is the path prefix of the object API.
 const Path = "/-/objects/"
 
-// Object is one object on the wire.
+// Object is an object as it is sent.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// Metadata names an object.
+// Metadata holds an object's name and revision.
 type Metadata struct {
 	Name string `json:"name"`
 	Rev  uint64 `json:"rev"`
 }
 
+// event is one change of an object.
 type event struct {
 	Object  Object `json:"object"`
 	Deleted bool   `json:"deleted"`
@@ -36,18 +37,21 @@
 	rev  uint64
 }
 
-// Store is the stand-in. It is safe for use by several goroutines.
+// Store is the stand-in. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	rev     uint64
 	kinds   map[string]map[string]Object
 	history []event
-	// dropped is the revision up to which history is gone.
-	dropped uint64
+	// compactedRev is the revision up to which the history was dropped.
+	compactedRev uint64
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 	down    bool
-	lose    int
-	calls   map[string]int
+	// responsesToLose is the number of writes whose response is still to be lost.
+	responsesToLose int
+	// calls counts the requests by path.
+	calls map[string]int
 }
 
 // New returns an empty store.
@@ -55,7 +59,7 @@
 	return &Store{rev: 1, kinds: make(map[string]map[string]Object), changed: make(chan struct{}), calls: make(map[string]int)}
 }
 
-// Put writes an object from outside, as the operator and the VMs do.
+// Put writes an object unconditionally, as the operator and the VMs do.
 func (s *Store) Put(kind, name string, spec any) {
 	value, err := json.Marshal(spec)
 	if err != nil {
@@ -66,7 +70,7 @@
 	s.put(kind, name, value)
 }
 
-// Delete removes an object from outside.
+// Delete removes an object if it exists.
 func (s *Store) Delete(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,46 +79,47 @@
 	}
 	delete(s.kinds[kind], name)
 	s.rev++
-	s.note(event{kind: kind, rev: s.rev, Deleted: true, Object: Object{Metadata: Metadata{Name: name, Rev: s.rev}}})
+	s.record(event{kind: kind, rev: s.rev, Deleted: true, Object: Object{Metadata: Metadata{Name: name, Rev: s.rev}}})
 }
 
-// Forget drops the history, so that older watches are answered 410.
+// Forget drops the history, so that watches from an older revision get 410 Gone.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.dropped = nil, s.rev
-	s.wake()
+	s.history, s.compactedRev = nil, s.rev
+	s.notifyWatchers()
 }
 
-// SetDown has every call refused with 503.
+// SetDown sets whether every request is rejected with 503.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wake()
+	s.notifyWatchers()
 }
 
-// LoseAnswers has the answers of the next writes lost after they took effect.
+// LoseAnswers breaks the connections of the next n writes after they took effect.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.responsesToLose = n
 }
 
-// Calls is how often a path was asked for.
+// Calls returns the number of requests to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Revision is the newest revision.
+// Revision returns the newest revision.
 func (s *Store) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rev
 }
 
+// put stores an object under the next revision. The caller must hold s.mu.
 func (s *Store) put(kind, name string, value json.RawMessage) Object {
 	if s.kinds[kind] == nil {
 		s.kinds[kind] = make(map[string]Object)
@@ -122,16 +127,17 @@
 	s.rev++
 	o := Object{Metadata: Metadata{Name: name, Rev: s.rev}, Spec: value}
 	s.kinds[kind][name] = o
-	s.note(event{kind: kind, rev: s.rev, Object: o})
+	s.record(event{kind: kind, rev: s.rev, Object: o})
 	return o
 }
 
-func (s *Store) note(e event) {
+// record appends to the history and wakes the watchers. The caller must hold s.mu.
+func (s *Store) record(e event) {
 	s.history = append(s.history, e)
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -157,7 +163,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func respond(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
@@ -171,7 +177,7 @@
 		items = append(items, o)
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Metadata.Name < items[j].Metadata.Name })
-	answer(w, http.StatusOK, map[string]any{"items": items, "has-more": false, "as-of": s.rev})
+	respond(w, http.StatusOK, map[string]any{"items": items, "has-more": false, "as-of": s.rev})
 }
 
 func (s *Store) get(w http.ResponseWriter, kind, name string) {
@@ -179,16 +185,16 @@
 	defer s.mu.Unlock()
 	o, ok := s.kinds[kind][name]
 	if !ok {
-		answer(w, http.StatusNotFound, map[string]string{"error": "no such object"})
+		respond(w, http.StatusNotFound, map[string]string{"error": "no such object"})
 		return
 	}
-	answer(w, http.StatusOK, o)
+	respond(w, http.StatusOK, o)
 }
 
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string) {
 	var o Object
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		answer(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		respond(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
 	s.mu.Lock()
@@ -199,18 +205,18 @@
 	old, exists := s.kinds[kind][name]
 	switch {
 	case r.Method == http.MethodPost && exists, r.Method == http.MethodPut && o.Metadata.Rev != 0 && o.Metadata.Rev != old.Metadata.Rev:
-		answer(w, http.StatusConflict, old)
+		respond(w, http.StatusConflict, old)
 		return
 	case r.Method == http.MethodPut && !exists:
-		answer(w, http.StatusNotFound, map[string]string{"error": "no such object"})
+		respond(w, http.StatusNotFound, map[string]string{"error": "no such object"})
 		return
 	}
 	written := s.put(kind, name, o.Spec)
-	if s.lose > 0 {
-		s.lose--
+	if s.responsesToLose > 0 {
+		s.responsesToLose--
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, http.StatusOK, written)
+	respond(w, http.StatusOK, written)
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
@@ -219,19 +225,19 @@
 	deadline := time.NewTimer(time.Duration(ms) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		events, rev, gone, changed := s.since(kind, after)
-		if gone {
-			answer(w, http.StatusGone, map[string]string{"error": "history is gone"})
+		events, rev, compacted, changed := s.since(kind, after)
+		if compacted {
+			respond(w, http.StatusGone, map[string]string{"error": "history is gone"})
 			return
 		}
 		if len(events) > 0 {
-			answer(w, http.StatusOK, map[string]any{"events": events, "as-of": rev})
+			respond(w, http.StatusOK, map[string]any{"events": events, "as-of": rev})
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			answer(w, http.StatusOK, map[string]any{"events": []event{}, "as-of": rev})
+			respond(w, http.StatusOK, map[string]any{"events": []event{}, "as-of": rev})
 			return
 		case <-r.Context().Done():
 			return
@@ -239,7 +245,9 @@
 	}
 }
 
-func (s *Store) since(kind string, after uint64) (out []event, rev uint64, gone bool, changed chan struct{}) {
+// since returns the kind's events after a revision, the newest revision, whether the history after that revision is
+// incomplete, and a channel that is closed at the next change.
+func (s *Store) since(kind string, after uint64) (out []event, rev uint64, compacted bool, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.history {
@@ -247,5 +255,5 @@
 			out = append(out, e)
 		}
 	}
-	return out, s.rev, after < s.dropped, s.changed
+	return out, s.rev, after < s.compactedRev, s.changed
 }
--- a/test/standin/plain/plain.go
+++ b/test/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a small stand-in for a plain application service that
-// counts its executions by request.
+// Package plain is a stand-in for a plain application service. It counts its
+// executions by request and by idempotency key.
 package plain
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/marbleroad/marbleroad/internal/relay"
 )
 
-// Service is the stand-in of one VM.
+// Service is the stand-in for one VM.
 type Service struct {
 	VM string
-	// Slots is how many requests the VM says it runs at once.
+	// Slots is the number of concurrent requests that the VM reports to run at most.
 	Slots int
 
 	mu         sync.Mutex
@@ -25,18 +25,18 @@
 	byKey      map[string]int
 	total      int
 	delay      time.Duration
-	// breakNext closes that many connections after the request has run.
+	// breakNext is the number of requests whose connection is still to be closed after they ran.
 	breakNext int
 	leaving   bool
 	inFlight  int
 }
 
-// New returns the stand-in.
+// New returns the stand-in for a VM with the given number of slots.
 func New(vm string, slots int) *Service {
 	return &Service{VM: vm, Slots: slots, executions: make(map[string]int), byKey: make(map[string]int)}
 }
 
-// SetDelay makes each request take this long.
+// SetDelay sets how long each request takes.
 func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,28 +50,28 @@
 	s.breakNext = n
 }
 
-// SetLeaving makes the VM say that it wants no new work.
+// SetLeaving sets whether the VM reports that it is leaving.
 func (s *Service) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = leaving
 }
 
-// Executions returns how often the request with this ID ran.
+// Executions returns how often the request with the ID ran.
 func (s *Service) Executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[id]
 }
 
-// ByKey returns how often a request with this idempotency key ran.
+// ByKey returns how often requests with the idempotency key ran.
 func (s *Service) ByKey(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byKey[key]
 }
 
-// Total returns how many requests ran.
+// Total returns the number of requests that ran.
 func (s *Service) Total() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/standin/platform/platform.go
+++ b/test/standin/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform is a small stand-in for the users' platform: an Object API
-// with versions, conditional updates and long-poll watches, and a membership
-// list that lags. It counts calls and can be made slow, absent or forgetful.
+// Package platform is a stand-in for the users' platform: an object API with
+// versions, conditional updates and long-poll watches, and a membership list
+// that can lag. It counts calls, and can be made slow, unavailable, unresponsive
+// or to lose responses.
 package platform
 
 import (
@@ -21,82 +22,84 @@
 
 const maxValueBytes = 1 << 20
 
-// Counts are the calls taken so far.
+// Counts are the numbers of calls so far.
 type Counts struct {
 	Reads   int
 	Writes  int
 	Watches int
 	Refused int
-	// BytesIn and BytesOut are the bodies' sizes.
+	// BytesIn and BytesOut are the total sizes of the bodies of valid writes and of responses.
 	BytesIn  int64
 	BytesOut int64
 }
 
-// Platform is the stand-in. Its methods may be called from any goroutine.
+// Platform is the stand-in. It is safe for concurrent use.
 type Platform struct {
 	mu       sync.Mutex
 	objects  map[string]httpapi.Object
 	revision uint64
-	changed  chan struct{}
-	members  map[string]api.Member
-	// lists are what the membership list shows, which lags behind members.
-	lists  map[string]api.MemberList
-	counts Counts
-	// history holds every accepted write of a watched prefix, for checkers.
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	members map[string]api.Member
+	// published holds the membership lists that clients see, by failure domain. They lag behind members.
+	published map[string]api.MemberList
+	counts    Counts
+	// history holds every accepted write, for checkers.
 	history []httpapi.Object
 
-	// down refuses all calls; loseAnswers breaks the connection after this
-	// many writes have taken effect.
-	down        bool
-	hang        bool
-	loseAnswers int
-	delay       time.Duration
-	lag         time.Duration
-	limiter     *rate.Limiter
+	// down makes all calls fail.
+	down bool
+	// hang makes all calls wait.
+	hang bool
+	// responsesToLose is the number of writes whose connection is still to be broken after they took effect.
+	responsesToLose int
+	delay           time.Duration
+	lag             time.Duration
+	limiter         *rate.Limiter
 }
 
 // New returns an empty platform without rate limits.
 func New() *Platform {
 	return &Platform{
-		objects: make(map[string]httpapi.Object),
-		changed: make(chan struct{}),
-		members: make(map[string]api.Member),
-		lists:   make(map[string]api.MemberList),
-		limiter: rate.NewLimiter(rate.Inf, 0),
+		objects:   make(map[string]httpapi.Object),
+		changed:   make(chan struct{}),
+		members:   make(map[string]api.Member),
+		published: make(map[string]api.MemberList),
+		limiter:   rate.NewLimiter(rate.Inf, 0),
 	}
 }
 
-// SetDown makes all calls fail, or work again.
+// SetDown sets whether all calls fail.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notifyWatchers()
 }
 
-// SetHang makes all calls wait without an answer until it is lifted.
+// SetHang sets whether all calls wait without a response.
 func (p *Platform) SetHang(hang bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hang = hang
-	p.wake()
+	p.notifyWatchers()
 }
 
-// SetDelay makes all calls slow.
+// SetDelay delays all calls.
 func (p *Platform) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// SetLag delays the membership list behind the truth.
+// SetLag sets the delay after which the membership list shows a change.
 func (p *Platform) SetLag(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lag = d
 }
 
-// LimitRate refuses calls over this many a second with 429.
+// LimitRate rejects calls above the rate with 429.
 func (p *Platform) LimitRate(perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,10 +110,10 @@
 func (p *Platform) LoseAnswers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loseAnswers = n
+	p.responsesToLose = n
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,8 +127,7 @@
 	return append([]httpapi.Object(nil), p.history...)
 }
 
-// SetMember adds or changes a VM of the membership list; the list shows it
-// after the lag.
+// SetMember adds or changes a VM of the membership list. Clients see the change after the lag.
 func (p *Platform) SetMember(m api.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +135,7 @@
 	p.publish(m.FailureDomain)
 }
 
-// RemoveMember takes a VM out of the membership list.
+// RemoveMember removes a VM from the membership list. Clients see the change after the lag.
 func (p *Platform) RemoveMember(vm string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,6 +144,7 @@
 	p.publish(m.FailureDomain)
 }
 
+// publish builds a failure domain's membership list and publishes it after the lag. The caller must hold p.mu.
 func (p *Platform) publish(domain string) {
 	list := api.MemberList{}
 	for _, m := range p.members {
@@ -150,23 +153,23 @@
 		}
 	}
 	sort.Slice(list.Members, func(i, j int) bool { return list.Members[i].VM < list.Members[j].VM })
-	show := func() {
-		list.Version = p.lists[domain].Version + 1
-		p.lists[domain] = list
+	publishList := func() {
+		list.Version = p.published[domain].Version + 1
+		p.published[domain] = list
 	}
 	if p.lag == 0 {
-		show()
+		publishList()
 		return
 	}
 	time.AfterFunc(p.lag, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		show()
+		publishList()
 	})
 }
 
-// wake wakes all waiting watches. The caller holds the lock.
-func (p *Platform) wake() {
+// notifyWatchers wakes all waiting calls. The caller must hold p.mu.
+func (p *Platform) notifyWatchers() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -183,19 +186,19 @@
 		p.put(w, r, strings.TrimPrefix(r.URL.Path, httpapi.ObjectsPath))
 	case r.URL.Path == httpapi.ListPath:
 		p.count(func(c *Counts) { c.Reads++ })
-		p.answer(w, p.list(r.URL.Query().Get("prefix"), 0))
+		p.respond(w, p.list(r.URL.Query().Get("prefix"), 0))
 	case r.URL.Path == httpapi.WatchPath:
 		p.watch(w, r)
 	case r.URL.Path == httpapi.MembersPath:
 		p.count(func(c *Counts) { c.Reads++ })
 		p.mu.Lock()
-		list := p.lists[r.URL.Query().Get("failure_domain")]
+		list := p.published[r.URL.Query().Get("failure_domain")]
 		p.mu.Unlock()
 		if list.Version > 0 && r.URL.Query().Get("known") == strconv.FormatUint(list.Version, 10) {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		p.answer(w, list)
+		p.respond(w, list)
 	default:
 		http.NotFound(w, r)
 	}
@@ -207,7 +210,7 @@
 	f(&p.counts)
 }
 
-// admit applies outages, delays and the rate limit.
+// admit applies outages, delays and the rate limit to a call, and reports whether it may proceed.
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request) bool {
 	p.mu.Lock()
 	for p.hang && r.Context().Err() == nil {
@@ -236,7 +239,7 @@
 	return false
 }
 
-func (p *Platform) answer(w http.ResponseWriter, v any) {
+func (p *Platform) respond(w http.ResponseWriter, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -256,7 +259,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	p.answer(w, object)
+	p.respond(w, object)
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request, key string) {
@@ -279,18 +282,19 @@
 	object := httpapi.Object{Key: key, Version: base + 1, Revision: p.revision, Value: value}
 	p.objects[key] = object
 	p.history = append(p.history, object)
-	p.wake()
-	lose := p.loseAnswers > 0
+	p.notifyWatchers()
+	lose := p.responsesToLose > 0
 	if lose {
-		p.loseAnswers--
+		p.responsesToLose--
 	}
 	p.mu.Unlock()
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
-	p.answer(w, object)
+	p.respond(w, object)
 }
 
+// list returns the objects under the prefix that changed after the revision.
 func (p *Platform) list(prefix string, after uint64) httpapi.ObjectList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -321,13 +325,13 @@
 			return
 		}
 		if len(list.Objects) > 0 {
-			p.answer(w, list)
+			p.respond(w, list)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			p.answer(w, list)
+			p.respond(w, list)
 			return
 		case <-r.Context().Done():
 			return
