--- a/test/capacity/counters.go
+++ b/test/capacity/counters.go
@@ -12,29 +12,34 @@
 	"github.com/marbleroad/marbleroad/test/standin/platform"
 )
 
-// reading is one look at the counters.
-type reading struct {
-	at      time.Time
-	cpu     []float64
-	entry   []float64
-	bytes   []map[string]float64
-	store   platform.Counts
-	memory  []float64
-	entryMB []float64
+// counterSnapshot holds the counters of all daemons and of the platform at one time. The slices are indexed by node.
+type counterSnapshot struct {
+	at time.Time
+	// controlCPU and entryCPU are CPU seconds since the processes' start.
+	controlCPU []float64
+	entryCPU   []float64
+	// metrics are those of the control processes, by name.
+	metrics []map[string]float64
+	// calls counts the platform's calls.
+	calls platform.Counts
+	// controlMB and entryMB are the processes' resident memory.
+	controlMB []float64
+	entryMB   []float64
 }
 
-func (r *rig) read() reading {
-	out := reading{at: time.Now(), store: r.platform.Counts()}
+func (r *testDomain) takeSnapshot() counterSnapshot {
+	out := counterSnapshot{at: time.Now(), calls: r.platform.Counts()}
 	for i := range r.controls {
-		out.cpu = append(out.cpu, cpuSeconds(r.controls[i]))
-		out.entry = append(out.entry, cpuSeconds(r.entries[i]))
-		out.memory = append(out.memory, residentMB(r.controls[i]))
+		out.controlCPU = append(out.controlCPU, cpuSeconds(r.controls[i]))
+		out.entryCPU = append(out.entryCPU, cpuSeconds(r.entries[i]))
+		out.controlMB = append(out.controlMB, residentMB(r.controls[i]))
 		out.entryMB = append(out.entryMB, residentMB(r.entries[i]))
-		out.bytes = append(out.bytes, scrape(r.controls[i].admin))
+		out.metrics = append(out.metrics, scrape(r.controls[i].admin))
 	}
 	return out
 }
 
+// cpuSeconds returns the user and system time of a process, or 0 if it has exited.
 func cpuSeconds(p *daemonProcess) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -46,6 +51,7 @@
 	return (user + system) / clockTicks
 }
 
+// residentMB returns the resident memory of a process, or 0 if it has exited.
 func residentMB(p *daemonProcess) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -60,7 +66,7 @@
 	return 0
 }
 
-// scrape reads a daemon's gauges and counters.
+// scrape returns a daemon's gauges and counters by name; none if it can't be reached.
 func scrape(admin string) map[string]float64 {
 	out := make(map[string]float64)
 	resp, err := http.Get("http://" + admin + "/metrics")
--- a/test/capacity/cursors.go
+++ b/test/capacity/cursors.go
@@ -11,25 +11,27 @@
 	"github.com/marbleroad/marbleroad/api/marbleroad/v1/marbleroadv1connect"
 )
 
-// cursorBook remembers how far this tool has read each node's items.
-type cursorBook struct {
+// viewCursors tracks, for each node's view client, the cursor up to which this tool has read the node's items, and the
+// versions of the items.
+type viewCursors struct {
 	mu       sync.Mutex
 	cursors  map[marbleroadv1connect.ViewServiceClient]*marbleroadv1.Cursor
 	versions map[marbleroadv1connect.ViewServiceClient]map[string]uint64
 }
 
-var cursors = &cursorBook{
+var cursors = &viewCursors{
 	cursors:  make(map[marbleroadv1connect.ViewServiceClient]*marbleroadv1.Cursor),
 	versions: make(map[marbleroadv1connect.ViewServiceClient]map[string]uint64),
 }
 
-func (b *cursorBook) get(v marbleroadv1connect.ViewServiceClient) *marbleroadv1.Cursor {
+func (b *viewCursors) get(v marbleroadv1connect.ViewServiceClient) *marbleroadv1.Cursor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cursors[v]
 }
 
-func (b *cursorBook) note(v marbleroadv1connect.ViewServiceClient, m *marbleroadv1.GetViewResponse) {
+// record updates a client's cursor and versions from a response. An older response doesn't move the cursor back.
+func (b *viewCursors) record(v marbleroadv1connect.ViewServiceClient, m *marbleroadv1.GetViewResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.versions[v] == nil {
@@ -44,24 +46,24 @@
 	}
 }
 
-func (b *cursorBook) version(v marbleroadv1connect.ViewServiceClient, key string) uint64 {
+func (b *viewCursors) version(v marbleroadv1connect.ViewServiceClient, key string) uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.versions[v][key]
 }
 
-// stub plays the nodes of all other failure domains: it answers exchanges
-// with the requester's own digest, so that nothing has to be sent.
-type stub struct{}
+// peerStub simulates the nodes of all other failure domains. It responds to exchanges with the requester's own digest,
+// so that no items have to be sent.
+type peerStub struct{}
 
-func newStub() http.Handler {
+func newPeerStub() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(marbleroadv1connect.NewPeerServiceHandler(stub{}))
+	mux.Handle(marbleroadv1connect.NewPeerServiceHandler(peerStub{}))
 	return mux
 }
 
 // Exchange implements PeerService.
-func (stub) Exchange(_ context.Context, r *connect.Request[marbleroadv1.ExchangeRequest]) (*connect.Response[marbleroadv1.ExchangeResponse], error) {
+func (peerStub) Exchange(_ context.Context, r *connect.Request[marbleroadv1.ExchangeRequest]) (*connect.Response[marbleroadv1.ExchangeResponse], error) {
 	return connect.NewResponse(&marbleroadv1.ExchangeResponse{
 		NodeId:        "far-1-0",
 		FailureDomain: "fd-1",
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -32,29 +32,34 @@
 )
 
 const (
-	domain       = "fd-0"
-	vmsPerFabric = 64
-	vmsPerGroup  = 8
-	token        = "capacity"
-	platformAddr = "127.50.0.1:9000"
-	stubAddr     = "127.50.0.2:7070"
-	clockTicks   = 100
-	startLimit   = 90 * time.Second
+	domain        = "fd-0"
+	vmsPerFabric  = 64
+	vmsPerGroup   = 8
+	operatorToken = "capacity"
+	platformAddr  = "127.50.0.1:9000"
+	peerStubAddr  = "127.50.0.2:7070"
+	// clockTicks is the kernel's USER_HZ, the unit of CPU times in /proc.
+	clockTicks = 100
+	// startTimeout limits how long the failure domain may take to start or recover.
+	startTimeout = 90 * time.Second
 )
 
-// result is what one load cost, per node: the largest of the nodes and the mean.
+// result holds the costs of one scenario. Its fields are written as JSON under their names.
 type result struct {
-	Load load
-	// CPU is in percent of a core, Memory in MB resident, for control and entry.
+	Load scenario
+	// ControlCPU and EntryCPU are the mean over the nodes, ControlCPUMax is the highest of them, in percent of a
+	// core.
 	ControlCPU, ControlCPUMax float64
 	EntryCPU                  float64
-	ControlMemory             float64
-	EntryMemory               float64
-	// Bytes per second of payload, in and out, per node.
+	// ControlMemory and EntryMemory are the highest resident memory of a node's process, in MB.
+	ControlMemory float64
+	EntryMemory   float64
+	// PeerBytes, PlatformBytes and ProbeBytes are the payload of a node, in and out, in bytes per second, as the mean
+	// over the nodes. NodeBytesMax is the highest sum of the three of a node.
 	PeerBytes, PlatformBytes, ProbeBytes, NodeBytesMax float64
-	// Store calls per second of the whole failure domain.
+	// Reads, Writes and Watches are calls to the platform per second by the whole failure domain.
 	Reads, Writes, Watches float64
-	// InForce is the slowest time of a change until all nodes had it, seconds.
+	// InForceMedian and InForceMax are the time from the acceptance of a change until all nodes had it, in seconds.
 	InForceMedian, InForceMax float64
 	Groups                    int
 }
@@ -64,9 +69,9 @@
 	admin string
 }
 
-// rig is one running failure domain.
-type rig struct {
-	load     load
+// testDomain is a running failure domain with its stand-ins.
+type testDomain struct {
+	scenario scenario
 	dir      string
 	platform *platform.Platform
 	controls []*daemonProcess
@@ -76,22 +81,24 @@
 	operator marbleroadv1connect.OperatorServiceClient
 }
 
-func measure(bin string, l load, length time.Duration) (result, error) {
-	r, stop, err := newRig(bin, l)
+// measure runs one scenario and returns its costs.
+func measure(bin string, l scenario, length time.Duration) (result, error) {
+	r, stop, err := startDomain(bin, l)
 	if err != nil {
 		return result{}, err
 	}
 	defer stop()
-	return r.sample(length)
+	return r.measureCosts(length)
 }
 
-// newRig starts a failure domain and waits until it has settled.
-func newRig(bin string, l load) (*rig, func(), error) {
+// startDomain starts a failure domain and waits for its steady state. The caller must call the returned function to
+// stop it.
+func startDomain(bin string, l scenario) (*testDomain, func(), error) {
 	dir, err := os.MkdirTemp("", "marbleroad-capacity")
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &rig{load: l, dir: dir, platform: platform.New()}
+	r := &testDomain{scenario: l, dir: dir, platform: platform.New()}
 	stop := func() {
 		r.stop()
 		_ = os.RemoveAll(dir)
@@ -103,7 +110,8 @@
 	return r, stop, nil
 }
 
-func (r *rig) stop() {
+// stop kills all daemons and closes the stand-ins.
+func (r *testDomain) stop() {
 	for _, p := range append(append([]*daemonProcess(nil), r.controls...), r.entries...) {
 		_ = p.cmd.Process.Signal(syscall.SIGKILL)
 		_ = p.cmd.Wait()
@@ -113,7 +121,7 @@
 	}
 }
 
-func (r *rig) serve(address string, h http.Handler) error {
+func (r *testDomain) serve(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -127,16 +135,18 @@
 	return nil
 }
 
+// nodeIP returns the address of the node with index i.
 func nodeIP(i int) string { return fmt.Sprintf("127.51.0.%d", i+1) }
 
-func (r *rig) start(bin string) error {
+// start starts the stand-ins, fills the platform's store and starts the nodes.
+func (r *testDomain) start(bin string) error {
 	if err := r.serve(platformAddr, r.platform); err != nil {
 		return err
 	}
-	if err := r.serve(stubAddr, newStub()); err != nil {
+	if err := r.serve(peerStubAddr, newPeerStub()); err != nil {
 		return err
 	}
-	for i := range r.load.VMs {
+	for i := range r.scenario.VMs {
 		address := fmt.Sprintf("127.52.%d.%d:8000", i/250, i%250+1)
 		name := fmt.Sprintf("vm-%04d", i)
 		c := engine.DefaultConfig()
@@ -149,16 +159,16 @@
 	if err := r.fillStore(); err != nil {
 		return err
 	}
-	for i := range r.load.Nodes {
+	for i := range r.scenario.Nodes {
 		if err := r.startNode(bin, i); err != nil {
 			return err
 		}
 	}
-	return r.settle()
+	return r.awaitSteadyState()
 }
 
-// fillStore writes the table and the other failure domains' nodes.
-func (r *rig) fillStore() error {
+// fillStore writes the table and the node records of the other failure domains.
+func (r *testDomain) fillStore() error {
 	client := httpapi.New("http://"+platformAddr, &http.Transport{}, 5*time.Second)
 	put := func(key string, value []byte) error {
 		_, err := client.Put(context.Background(), key, value, 0)
@@ -174,10 +184,10 @@
 			return err
 		}
 	}
-	for d := 1; d < r.load.Domains; d++ {
+	for d := 1; d < r.scenario.Domains; d++ {
 		for n := range plannedNodes {
 			rec := nodeinfo.Record{ID: fmt.Sprintf("far-%d-%d", d, n), FailureDomain: fmt.Sprintf("fd-%d", d),
-				Control: stubAddr, EntryPeer: stubAddr, Version: 1}
+				Control: peerStubAddr, EntryPeer: peerStubAddr, Version: 1}
 			value, err := json.Marshal(rec)
 			if err != nil {
 				return err
@@ -190,10 +200,9 @@
 	return nil
 }
 
-// rows makes the table: one model service, the groups of this failure domain,
-// and teams up to the wanted size.
-func (r *rig) rows() []*table.Row {
-	must := func(sheet table.SheetName, name string, cells ...string) *table.Row {
+// rows returns the table: one model service, the groups of this failure domain, and teams up to the scenario's size.
+func (r *testDomain) rows() []*table.Row {
+	newRow := func(sheet table.SheetName, name string, cells ...string) *table.Row {
 		s, err := table.Lookup(sheet)
 		if err != nil {
 			panic(err)
@@ -206,28 +215,30 @@
 		}
 		return row
 	}
-	out := []*table.Row{must(table.Services, "model", "kind", "model")}
-	fabrics := (r.load.VMs + vmsPerFabric - 1) / vmsPerFabric
+	out := []*table.Row{newRow(table.Services, "model", "kind", "model")}
+	fabrics := (r.scenario.VMs + vmsPerFabric - 1) / vmsPerFabric
 	for f := range fabrics {
-		vms := min(vmsPerFabric, r.load.VMs-f*vmsPerFabric)
-		out = append(out, must(table.Groups, fmt.Sprintf("g%d", f), "service", "model", "failure_domain", domain,
+		vms := min(vmsPerFabric, r.scenario.VMs-f*vmsPerFabric)
+		out = append(out, newRow(table.Groups, fmt.Sprintf("g%d", f), "service", "model", "failure_domain", domain,
 			"fabric", fmt.Sprintf("f%d", f), "pool", "models", "replicas", strconv.Itoa(vms/vmsPerGroup), "load_time", "1s"))
 	}
-	for i := len(out); i < r.load.Rows; i++ {
-		out = append(out, must(table.Teams, fmt.Sprintf("team-%d", i), "key_sha256", hash(strconv.Itoa(i)), "rate", "100"))
+	for i := len(out); i < r.scenario.Rows; i++ {
+		out = append(out, newRow(table.Teams, fmt.Sprintf("team-%d", i), "key_sha256", hash(strconv.Itoa(i)), "rate", "100"))
 	}
 	return out
 }
 
+// hash returns the text's SHA-256 in hexadecimal.
 func hash(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-func (r *rig) startNode(bin string, i int) error {
+// startNode starts a node's two daemons and creates the clients for its control process.
+func (r *testDomain) startNode(bin string, i int) error {
 	ip := nodeIP(i)
 	var seeds []string
-	for n := range min(r.load.Nodes, 3) {
+	for n := range min(r.scenario.Nodes, 3) {
 		seeds = append(seeds, nodeIP(n)+":7070")
 	}
 	text := fmt.Sprintf(`[node]
@@ -248,7 +259,7 @@
 operator_token_sha256 = %s
 %s[log]
 level = warn
-`, i, domain, platformAddr, ip, ip, ip, ip, os.Getenv("CAPACITY_ENTRY"), ip, ip, strings.Join(seeds, ", "), hash(token), os.Getenv("CAPACITY_CONTROL"))
+`, i, domain, platformAddr, ip, ip, ip, ip, os.Getenv("CAPACITY_ENTRY"), ip, ip, strings.Join(seeds, ", "), hash(operatorToken), os.Getenv("CAPACITY_CONTROL"))
 	path := filepath.Join(r.dir, fmt.Sprintf("node-%02d.ini", i))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
@@ -273,7 +284,7 @@
 		r.operator = marbleroadv1connect.NewOperatorServiceClient(peers.Client(), url, connect.WithInterceptors(connect.UnaryInterceptorFunc(
 			func(next connect.UnaryFunc) connect.UnaryFunc {
 				return func(ctx context.Context, q connect.AnyRequest) (connect.AnyResponse, error) {
-					q.Header().Set("Authorization", "Bearer "+token)
+					q.Header().Set("Authorization", "Bearer "+operatorToken)
 					return next(ctx, q)
 				}
 			})))
@@ -290,24 +301,25 @@
 	return &daemonProcess{cmd: cmd, admin: admin}, nil
 }
 
-// settle waits until everything serves, and past the start's extra work.
-func (r *rig) settle() error {
-	if err := r.ready(context.Background()); err != nil {
+// awaitSteadyState waits until all groups serve, and then until the extra work of the start is over.
+func (r *testDomain) awaitSteadyState() error {
+	if err := r.awaitReady(context.Background()); err != nil {
 		return err
 	}
-	time.Sleep(settleTime)
+	time.Sleep(startupWork)
 	return nil
 }
 
-const settleTime = 5 * time.Second
+// startupWork is how long the extra work of a start lasts once all groups serve.
+const startupWork = 5 * time.Second
 
-// ready waits until all nodes have the table and all groups serve.
-func (r *rig) ready(ctx context.Context) error {
-	want := 0
-	for f := 0; f*vmsPerFabric < r.load.VMs; f++ {
-		want += min(vmsPerFabric, r.load.VMs-f*vmsPerFabric) / vmsPerGroup
+// awaitReady waits until all nodes have the table and all groups serve.
+func (r *testDomain) awaitReady(ctx context.Context) error {
+	expectedGroups := 0
+	for f := 0; f*vmsPerFabric < r.scenario.VMs; f++ {
+		expectedGroups += min(vmsPerFabric, r.scenario.VMs-f*vmsPerFabric) / vmsPerGroup
 	}
-	end := time.Now().Add(startLimit)
+	end := time.Now().Add(startTimeout)
 	for time.Now().Before(end) {
 		time.Sleep(200 * time.Millisecond)
 		status, err := r.operator.Status(ctx, connect.NewRequest(&marbleroadv1.StatusRequest{}))
@@ -325,34 +337,35 @@
 				alive++
 			}
 		}
-		if serving == want && alive == r.load.Nodes {
+		if serving == expectedGroups && alive == r.scenario.Nodes {
 			return nil
 		}
 	}
-	return fmt.Errorf("the failure domain did not settle within %s", startLimit)
+	return fmt.Errorf("the failure domain did not become ready within %s", startTimeout)
 }
 
-func (r *rig) sample(length time.Duration) (result, error) {
+// measureCosts changes rows for the given time and returns the costs over it.
+func (r *testDomain) measureCosts(length time.Duration) (result, error) {
 	for _, view := range r.views {
-		// The whole table once, before the counters are read.
+		// Reads the complete table before the counters, so that its transfer isn't measured.
 		hasVersion(context.Background(), view, "", 0)
 	}
-	before := r.read()
-	times := r.change(length)
-	after := r.read()
+	before := r.takeSnapshot()
+	times := r.measureChanges(length)
+	after := r.takeSnapshot()
 	elapsed := after.at.Sub(before.at).Seconds()
-	out := result{Load: r.load}
+	out := result{Load: r.scenario}
 	n := float64(len(r.controls))
 	for i := range r.controls {
-		cpu := 100 * (after.cpu[i] - before.cpu[i]) / elapsed
+		cpu := 100 * (after.controlCPU[i] - before.controlCPU[i]) / elapsed
 		out.ControlCPU += cpu / n
 		out.ControlCPUMax = max(out.ControlCPUMax, cpu)
-		out.EntryCPU += 100 * (after.entry[i] - before.entry[i]) / elapsed / n
-		out.ControlMemory = max(out.ControlMemory, after.memory[i])
+		out.EntryCPU += 100 * (after.entryCPU[i] - before.entryCPU[i]) / elapsed / n
+		out.ControlMemory = max(out.ControlMemory, after.controlMB[i])
 		out.EntryMemory = max(out.EntryMemory, after.entryMB[i])
 		rate := func(kind string) float64 {
 			in, sent := "marbleroad_bytes_"+kind+"_in", "marbleroad_bytes_"+kind+"_out"
-			return (after.bytes[i][in] + after.bytes[i][sent] - before.bytes[i][in] - before.bytes[i][sent]) / elapsed
+			return (after.metrics[i][in] + after.metrics[i][sent] - before.metrics[i][in] - before.metrics[i][sent]) / elapsed
 		}
 		peers, store, probes := rate("peers"), rate("platform"), rate("upstreams")
 		out.PeerBytes += peers / n
@@ -360,9 +373,9 @@
 		out.ProbeBytes += probes / n
 		out.NodeBytesMax = max(out.NodeBytesMax, peers+store+probes)
 	}
-	out.Reads = float64(after.store.Reads-before.store.Reads) / elapsed
-	out.Writes = float64(after.store.Writes-before.store.Writes) / elapsed
-	out.Watches = float64(after.store.Watches-before.store.Watches) / elapsed
+	out.Reads = float64(after.calls.Reads-before.calls.Reads) / elapsed
+	out.Writes = float64(after.calls.Writes-before.calls.Writes) / elapsed
+	out.Watches = float64(after.calls.Watches-before.calls.Watches) / elapsed
 	sort.Float64s(times)
 	if len(times) > 0 {
 		out.InForceMedian = times[len(times)/2]
@@ -371,37 +384,40 @@
 	return out, nil
 }
 
-// change changes rows at the load's rate and measures how long each takes
-// until every control process gives it to its entry.
-func (r *rig) change(length time.Duration) []float64 {
-	interval := time.Duration(float64(time.Second) / r.load.Changes)
+// measureChanges changes rows at the scenario's rate for the given time. It returns how long each accepted change took
+// until every control process served it, in seconds.
+func (r *testDomain) measureChanges(length time.Duration) []float64 {
+	interval := time.Duration(float64(time.Second) / r.scenario.Changes)
 	end := time.Now().Add(length)
 	results := make(chan float64, 1000)
 	sent := 0
 	for time.Now().Before(end) {
 		next := time.Now().Add(interval)
 		sent++
-		go func(n int) { results <- r.oneChange(n) }(sent)
+		go func(n int) { results <- r.measureChange(n) }(sent)
 		time.Sleep(min(time.Until(next), time.Until(end)+time.Millisecond))
 	}
 	var out []float64
 	for range sent {
-		if took := <-results; took >= 0 {
-			out = append(out, took)
+		if latency := <-results; latency >= 0 {
+			out = append(out, latency)
 		}
 	}
 	return out
 }
 
-const inForceLimit = 20 * time.Second
+// propagationTimeout limits the wait for one change to reach all nodes.
+const propagationTimeout = 20 * time.Second
 
-func (r *rig) oneChange(n int) float64 {
-	name := fmt.Sprintf("team-%d", r.load.Rows-1-n%50)
-	ctx, cancel := context.WithTimeout(context.Background(), inForceLimit)
+// measureChange changes a row and returns the seconds from the acceptance until all nodes have the change, or -1 if it
+// wasn't accepted. It returns propagationTimeout if a node doesn't get it in time.
+func (r *testDomain) measureChange(n int) float64 {
+	name := fmt.Sprintf("team-%d", r.scenario.Rows-1-n%50)
+	ctx, cancel := context.WithTimeout(context.Background(), propagationTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	resp, err := r.operator.Apply(ctx, connect.NewRequest(&marbleroadv1.ApplyRequest{
-		ChangeId: fmt.Sprintf("change-%d-%d", n, began.UnixNano()),
+		ChangeId: fmt.Sprintf("change-%d-%d", n, start.UnixNano()),
 		Author:   "capacity",
 		Edits: []*marbleroadv1.RowEdit{{Sheet: "teams", Name: name, Force: true,
 			Cells: []*marbleroadv1.Cell{{Column: "weight", Text: strconv.Itoa(n%900 + 1)}}}},
@@ -414,7 +430,7 @@
 	for _, view := range r.views {
 		for !hasVersion(ctx, view, table.Key(table.Teams, name), version) {
 			if ctx.Err() != nil {
-				return inForceLimit.Seconds()
+				return propagationTimeout.Seconds()
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -422,14 +438,13 @@
 	return time.Since(accepted).Seconds()
 }
 
-// hasVersion asks a node for its newest items and reports whether the row is
-// at the version.
+// hasVersion requests a node's newest items and reports whether the row is at least at the version.
 func hasVersion(ctx context.Context, view marbleroadv1connect.ViewServiceClient, key string, version uint64) bool {
 	cursor := cursors.get(view)
 	resp, err := view.GetView(ctx, connect.NewRequest(&marbleroadv1.GetViewRequest{Items: cursor, EntryId: "capacity-probe"}))
 	if err != nil {
 		return false
 	}
-	cursors.note(view, resp.Msg)
+	cursors.record(view, resp.Msg)
 	return cursors.version(view, key) >= version
 }
--- a/test/capacity/recovery.go
+++ b/test/capacity/recovery.go
@@ -11,69 +11,73 @@
 
 const (
 	outageLength = 30 * time.Second
-	// burst is the time after a recovery in which a herd would show.
-	burst = 5 * time.Second
+	// recoveryPeriod is the time after an outage in which calls are counted, because a load surge would show there.
+	recoveryPeriod = 5 * time.Second
 )
 
-// recovery measures what the platform sees after an outage, and how long a
-// restart of all daemons at once takes.
-func recovery(bin string, l load) error {
-	r, stop, err := newRig(bin, l)
+// measureRecovery measures the calls that the platform gets during and after an outage, and how long a restart of all
+// daemons at once takes.
+func measureRecovery(bin string, l scenario) error {
+	r, stop, err := startDomain(bin, l)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	if err := r.outage(); err != nil {
+	if err := r.measureOutage(); err != nil {
 		return err
 	}
 	return r.restartAll(bin)
 }
 
-func calls(a, b platform.Counts) string {
+// callDifference describes the calls between two counts.
+func callDifference(a, b platform.Counts) string {
 	return fmt.Sprintf("%d reads, %d writes, %d watches, %d refused",
 		b.Reads-a.Reads, b.Writes-a.Writes, b.Watches-a.Watches, b.Refused-a.Refused)
 }
 
-func (r *rig) outage() error {
+// measureOutage takes the platform down for outageLength. It prints the calls during the outage and after it, and when
+// the first change afterwards is in force at all nodes.
+func (r *testDomain) measureOutage() error {
 	before := r.platform.Counts()
 	r.platform.SetDown(true)
 	time.Sleep(outageLength)
 	during := r.platform.Counts()
 	r.platform.SetDown(false)
-	began := time.Now()
-	took := -1.0
-	for n := 1; took < 0 && time.Since(began) < startLimit; n++ {
-		took = r.oneChange(n)
+	start := time.Now()
+	latency := -1.0
+	for n := 1; latency < 0 && time.Since(start) < startTimeout; n++ {
+		latency = r.measureChange(n)
 	}
-	inForce := time.Since(began)
-	time.Sleep(time.Until(began.Add(burst)))
+	recovered := time.Since(start)
+	time.Sleep(time.Until(start.Add(recoveryPeriod)))
 	after := r.platform.Counts()
-	fmt.Printf("outage of %s: calls during it: %s\n", outageLength, calls(before, during))
-	fmt.Printf("a change was in force everywhere %.1f s after its end; calls in the first %s: %s\n", inForce.Seconds(), burst, calls(during, after))
-	if took < 0 {
+	fmt.Printf("outage of %s: calls during it: %s\n", outageLength, callDifference(before, during))
+	fmt.Printf("a change was in force everywhere %.1f s after its end; calls in the first %s: %s\n", recovered.Seconds(), recoveryPeriod, callDifference(during, after))
+	if latency < 0 {
 		return fmt.Errorf("no change was accepted after the outage")
 	}
 	return nil
 }
 
-func (r *rig) restartAll(bin string) error {
+// restartAll kills all daemons, starts them again and prints when everything serves.
+func (r *testDomain) restartAll(bin string) error {
 	for _, p := range append(append([]*daemonProcess(nil), r.controls...), r.entries...) {
 		_ = p.cmd.Process.Signal(syscall.SIGKILL)
 		_ = p.cmd.Wait()
 	}
 	r.controls, r.entries, r.views = nil, nil, nil
 	before := r.platform.Counts()
-	began := time.Now()
-	for i := range r.load.Nodes {
+	start := time.Now()
+	for i := range r.scenario.Nodes {
 		if err := r.startNode(bin, i); err != nil {
 			return err
 		}
 	}
-	if err := r.ready(context.Background()); err != nil {
+	if err := r.awaitReady(context.Background()); err != nil {
 		return err
 	}
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	fmt.Printf("all %d nodes killed and started at once: everything serves after %.1f s; calls: %s\n",
-		r.load.Nodes, took.Seconds(), calls(before, r.platform.Counts()))
+		r.scenario.Nodes, elapsed.Seconds(), callDifference(before, r.platform.Counts()))
 	return nil
 }
