--- a/internal/gateway/condition_test.go
+++ b/internal/gateway/condition_test.go
@@ -25,10 +25,10 @@
 		}
 	}
 	windows := int64(time.Since(startedAt)/(4*time.Second)) + 1
-	if got, allowed := limited.Asked.Load(), windows*allowedRequests(0.5); got > allowed {
+	if got, allowed := limited.Received.Load(), windows*allowedRequests(0.5); got > allowed {
 		t.Errorf("the upstream received %d of 60 requests, allowed %d", got, allowed)
 	}
-	if got := s.heads[1].Asked.Load(); got < 40 {
+	if got := s.heads[1].Received.Load(); got < 40 {
 		t.Errorf("the other upstream received %d of 60 requests", got)
 	}
 }
@@ -65,7 +65,7 @@
 		}
 	}
 	const announced, concurrent = 1, 2
-	if got := backingOff.Asked.Load(); got > announced+concurrent {
+	if got := backingOff.Received.Load(); got > announced+concurrent {
 		t.Errorf("the upstream received %d requests during its backoff", got-announced)
 	}
 }
@@ -82,7 +82,7 @@
 			body(t, resp)
 		}
 	}
-	if got := leaving.Asked.Load(); got > 1 {
+	if got := leaving.Received.Load(); got > 1 {
 		t.Errorf("the upstream received %d requests after it had announced to leave", got-1)
 	}
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -24,7 +24,7 @@
 }
 
 func (c *crasher) observe(o groupengine.Observation) {
-	if o.Kind != groupengine.Ran || !strings.Contains(o.Target, c.path) {
+	if o.Kind != groupengine.RequestExecuted || !strings.Contains(o.Target, c.path) {
 		return
 	}
 	if _, before := c.crashed.LoadOrStore(o.VM, true); !before {
@@ -150,7 +150,7 @@
 	var s *testSite
 	var count atomic.Int64
 	s = newTestSite(t, options{heads: 6, observe: func(o groupengine.Observation) {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			return
 		}
 		if n := count.Add(1); n > uneventful && n <= uneventful+crashes {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-func requestsReceived(vm *groupengine.VM) int64 { return vm.Asked.Load() }
-func requestsRun(vm *groupengine.VM) int64      { return vm.Ran.Load() }
+func requestsReceived(vm *groupengine.VM) int64 { return vm.Received.Load() }
+func requestsRun(vm *groupengine.VM) int64      { return vm.Executed.Load() }
 
 // TestTargetAndHeaders: the target is forwarded unchanged, the key is not forwarded, and the team is
 // determined by the key, whatever the caller sends.
@@ -76,9 +76,9 @@
 // another head within the same response.
 func TestStreamContinuesAtAnotherHead(t *testing.T) {
 	for name, fault := range map[string]func(*groupengine.VM){
-		"cut":        func(vm *groupengine.VM) { vm.CutAfter.Store(3) },
-		"stalled":    func(vm *groupengine.VM) { vm.Stall.Store(3) },
-		"foreign ID": func(vm *groupengine.VM) { vm.ForeignID.Store(true) },
+		"cut":        func(vm *groupengine.VM) { vm.TruncateAfter.Store(3) },
+		"stalled":    func(vm *groupengine.VM) { vm.StallAfter.Store(3) },
+		"foreign ID": func(vm *groupengine.VM) { vm.WrongAttemptID.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestSite(t, options{})
@@ -98,7 +98,7 @@
 func TestTruncatedStreamNeverLooksComplete(t *testing.T) {
 	s := newTestSite(t, options{})
 	for _, vm := range s.heads {
-		vm.CutAfter.Store(2)
+		vm.TruncateAfter.Store(2)
 	}
 	resp := s.send(t, http.MethodPost, "/stream/x", map[string]string{"Model": "m"})
 	if data, err := io.ReadAll(resp.Body); err == nil {
@@ -111,7 +111,7 @@
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	s := newTestSite(t, options{})
 	for _, vm := range s.plain {
-		vm.ForeignID.Store(true)
+		vm.WrongAttemptID.Store(true)
 	}
 	resp := s.send(t, http.MethodPost, "/once/x", nil)
 	if n := sum(s.plain, requestsReceived); n != 1 || resp.StatusCode != http.StatusBadGateway {
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -27,7 +27,7 @@
 			s := newTestSite(t, o)
 			for _, head := range s.heads {
 				head.StallFor.Store(int64(longStall))
-				head.Stall.Store(2)
+				head.StallAfter.Store(2)
 			}
 			resp := s.send(t, http.MethodPost, "/stream/x", map[string]string{"Model": "m"})
 			if resp.StatusCode != http.StatusOK {
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -157,8 +157,8 @@
 	t.Helper()
 	var vm *groupengine.VM
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { vm.ServeHTTP(w, r) }))
-	vm = groupengine.New(groupengine.Config{ID: id, Service: service, Address: server.Listener.Addr().String(), Zone: "a", Domain: "d",
-		Events: events, Pause: s.pause, Work: s.work, Observe: s.observe}, s.store)
+	vm = groupengine.New(groupengine.Config{ID: id, Service: service, Address: server.Listener.Addr().String(), FailureDomain: "a", FabricDomain: "d",
+		Events: events, EventInterval: s.pause, ServiceTime: s.work, Observe: s.observe}, s.store)
 	server.Start()
 	s.addresses[id] = server.URL
 	s.mu.Lock()
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -34,7 +34,7 @@
 func TestTimeLeftAfterSuspension(t *testing.T) {
 	const suspension = 5 * time.Second
 	s := newTestSite(t, options{heads: 3, observe: func(o groupengine.Observation) {
-		if o.Kind == groupengine.Arrived && o.Request == "sleeps" {
+		if o.Kind == groupengine.RequestReceived && o.Request == "sleeps" {
 			clock.Note(suspension)
 		}
 	}})
--- a/test/integration/answers_test.go
+++ b/test/integration/answers_test.go
@@ -171,7 +171,7 @@
 		case 1:
 			all(func(v *vm) { v.plain.BreakNext(1) })
 		case 2:
-			all(func(v *vm) { v.proxy.Set(faultproxy.LoseAnswers) })
+			all(func(v *vm) { v.proxy.Set(faultproxy.LoseResponses) })
 		case 3:
 			all(func(v *vm) { v.proxy.Set(faultproxy.LoseRequests) })
 		}
@@ -209,7 +209,7 @@
 	s.eventually("obuda spills to csepel", func() bool {
 		return s.call(obuda, request{path: "/services/warnings/x", nonIdempotent: true, body: "a"}).status == http.StatusOK
 	})
-	csepel.peerProxy.Set(faultproxy.LoseAnswers)
+	csepel.peerProxy.Set(faultproxy.LoseResponses)
 	a := s.call(obuda, request{path: "/services/warnings/x", nonIdempotent: true, body: "b", timeout: time.Second})
 	if a.verdict != verdict.MayHaveRun {
 		t.Errorf("lost response: %d %s", a.status, a.verdict)
--- a/test/integration/chaos_test.go
+++ b/test/integration/chaos_test.go
@@ -102,7 +102,7 @@
 		}
 		return "platform down", undo, ok
 	case 7:
-		s.platform.LoseAnswers(1 + c.random.IntN(3))
+		s.platform.LoseResponses(1 + c.random.IntN(3))
 		return "responses lost", func() {}, true
 	case 8:
 		if undo, ok = c.claim("peers", func() { s.partitionNode(nd, faultproxy.Pass) }); ok {
--- a/test/integration/groups_test.go
+++ b/test/integration/groups_test.go
@@ -250,7 +250,7 @@
 	s := newGroupDeployment(t, 6)
 	stop := s.startLoad()
 	for range 2 {
-		s.platform.LoseAnswers(2)
+		s.platform.LoseResponses(2)
 		lost := s.members("obuda")[1]
 		s.killVM(lost)
 		s.awaitGroupWithout(lost)
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -68,8 +68,8 @@
 }
 
 func (s *platformDeployment) addEngine(id, service string, events, host int) {
-	vm := groupengine.New(groupengine.Config{ID: id, Service: service, Address: s.ip(host, 8080), Zone: "a", Domain: "d",
-		Load: 50 * time.Millisecond, Events: events, Pause: 30 * time.Millisecond}, s.store)
+	vm := groupengine.New(groupengine.Config{ID: id, Service: service, Address: s.ip(host, 8080), FailureDomain: "a", FabricDomain: "d",
+		LoadTime: 50 * time.Millisecond, Events: events, EventInterval: 30 * time.Millisecond}, s.store)
 	s.engines[id] = vm
 	s.servers[id] = s.serve(s.ip(host, 8080), vm)
 }
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -109,7 +109,7 @@
 	t.Parallel()
 	s := newGroupDeployment(t, 4)
 	for n := range 10 {
-		s.platform.LoseAnswers(n % 3)
+		s.platform.LoseResponses(n % 3)
 		a := s.call(s.nodes[n%2], warningRequest(fmt.Sprintf("lost-%d", n)))
 		b := s.call(s.nodes[(n+1)%2], warningRequest(fmt.Sprintf("lost-%d", n)))
 		if a.status != http.StatusOK {
--- a/test/integration/site_test.go
+++ b/test/integration/site_test.go
@@ -224,7 +224,7 @@
 	v.proxy = s.proxy(s.ip(host, vmProxyPort), v.addr)
 	v.member = api.Member{VM: v.name, Address: s.ip(host, vmProxyPort), FailureDomain: domain, Fabric: "f1", Pool: pool, State: api.Live}
 	if v.engine != nil {
-		v.engine.OnBegin(s.history.recordExecution)
+		v.engine.OnExecution(s.history.recordExecution)
 		v.engine.OnOrder(s.history.recordOrder)
 	}
 	s.vms[v.name] = v
@@ -265,7 +265,7 @@
 	_ = v.server.Close()
 	v.proxy.Set(faultproxy.Refuse)
 	if v.engine != nil {
-		v.engine.Forget()
+		v.engine.Reset()
 	}
 }
 
--- a/test/integration/table_test.go
+++ b/test/integration/table_test.go
@@ -178,7 +178,7 @@
 	t.Parallel()
 	s := newTwoDomainDeployment(t)
 	for n := range 5 {
-		s.platform.LoseAnswers(1)
+		s.platform.LoseResponses(1)
 		out, code := s.setWeight(s.nodes[n%4], "agrimet", 30+n)
 		if code != 0 {
 			t.Errorf("exit code %d: %s", code, out)
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -96,7 +96,7 @@
 // notRun: what was refused as not run did not run, also later.
 func (j *judge) notRun() {
 	for _, o := range j.h.seen {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			continue
 		}
 		switch c := j.calls[o.Request]; c.status {
@@ -110,7 +110,7 @@
 func (j *judge) once() {
 	ran, counted := make(map[string]int), make(map[string]int)
 	for _, o := range j.h.seen {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			continue
 		}
 		ran[o.Request]++
@@ -142,7 +142,7 @@
 // asked: nothing runs that no caller asked for.
 func (j *judge) asked() {
 	for _, o := range j.h.seen {
-		if _, known := j.calls[o.Request]; o.Kind == groupengine.Ran && (!known || strings.HasPrefix(o.Request, "smuggled")) {
+		if _, known := j.calls[o.Request]; o.Kind == groupengine.RequestExecuted && (!known || strings.HasPrefix(o.Request, "smuggled")) {
 			j.report("asked for", o.Request, "ran at %s, target %s", o.VM, o.Target)
 		}
 	}
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, o := range j.h.taken {
-		j.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.Old.Name)
+		j.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.OldGroup.Name)
 	}
 }
 
@@ -196,7 +196,7 @@
 		for _, o := range j.h.seen {
 			c, known := j.calls[o.Request]
 			late := o.At.Sub(d.at)
-			if o.Kind == groupengine.Arrived && o.VM == d.vm && known && late > drainBound+j.slack && j.inTouch(c.node, c.sent) && j.inTouch(c.node, o.At) {
+			if o.Kind == groupengine.RequestReceived && o.VM == d.vm && known && late > drainBound+j.slack && j.inTouch(c.node, c.sent) && j.inTouch(c.node, o.At) {
 				j.report("leaving upstreams", o.Request, "reached %s %d ms after it left", d.vm, late.Milliseconds())
 			}
 		}
@@ -245,7 +245,7 @@
 	}
 	for _, o := range j.h.seen {
 		c := j.calls[o.Request]
-		if at, ok := ended[c.key]; ok && o.Kind == groupengine.Ran && c.sent.Sub(at) > revokeBound {
+		if at, ok := ended[c.key]; ok && o.Kind == groupengine.RequestExecuted && c.sent.Sub(at) > revokeBound {
 			j.report("revoked keys end", o.Request, "ran with a key that was revoked %d ms before it was sent", c.sent.Sub(at).Milliseconds())
 		}
 	}
@@ -262,7 +262,7 @@
 	}
 	for _, o := range j.h.seen {
 		c, known := j.calls[o.Request]
-		if o.Kind != groupengine.Arrived || !known {
+		if o.Kind != groupengine.RequestReceived || !known {
 			continue
 		}
 		if !first[o.Request] {
@@ -302,7 +302,7 @@
 	const few = 4
 	ended := make(map[string]time.Time)
 	for _, o := range j.h.seen {
-		if o.Kind == groupengine.Ended && o.At.After(ended[o.Request]) {
+		if o.Kind == groupengine.RequestFinished && o.At.After(ended[o.Request]) {
 			ended[o.Request] = o.At
 		}
 	}
@@ -325,7 +325,7 @@
 func (j *judge) refusals() {
 	arrived := make(map[string]bool)
 	for _, o := range j.h.seen {
-		if o.Kind == groupengine.Arrived {
+		if o.Kind == groupengine.RequestReceived {
 			arrived[o.Request] = true
 		}
 	}
@@ -384,7 +384,7 @@
 func (j *judge) arrivals() map[string][]time.Time {
 	out := make(map[string][]time.Time)
 	for _, o := range j.h.seen {
-		if o.Kind == groupengine.Ran {
+		if o.Kind == groupengine.RequestExecuted {
 			out[o.Request] = append(out[o.Request], o.At)
 		}
 	}
--- a/test/soak/conditions.go
+++ b/test/soak/conditions.go
@@ -77,7 +77,7 @@
 		u.vm.Condition.Store(&http.Header{"Server-Leaving": {"1"}})
 		time.Sleep(f.For)
 		w.history.needed(need{f.Kind, u.id, from, time.Now()})
-		u.vm.Leave()
+		u.vm.DeleteEntry()
 		w.end(u)
 	})
 }
@@ -170,7 +170,7 @@
 	out := make(map[int][]time.Time)
 	for _, o := range j.h.seen {
 		c, known := j.calls[o.Request]
-		if o.VM == n.vm && o.Kind == groupengine.Ended && known && o.At.After(n.from) && o.At.Before(n.to) && c.sent.After(n.from) {
+		if o.VM == n.vm && o.Kind == groupengine.RequestFinished && known && o.At.After(n.from) && o.At.Before(n.to) && c.sent.After(n.from) {
 			out[c.node] = append(out[c.node], o.At)
 		}
 	}
@@ -186,7 +186,7 @@
 		if n.kind == UpstreamRests {
 			until = n.to.Add(wantedRest)
 		}
-		if o.VM == n.vm && o.Kind == groupengine.Arrived && known && o.At.After(n.from) && o.At.Before(until) {
+		if o.VM == n.vm && o.Kind == groupengine.RequestReceived && known && o.At.After(n.from) && o.At.Before(until) {
 			out = append(out, o)
 		}
 	}
--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -63,7 +63,7 @@
 // crashIfAsked ends a VM that begins to run a request which does that to it. It is called by the
 // VM's own handler, which it ends too.
 func (w *world) crashIfAsked(o groupengine.Observation) {
-	if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPath) {
+	if o.Kind != groupengine.RequestExecuted || !strings.HasPrefix(o.Target, crashPath) {
 		return
 	}
 	w.mu.Lock()
@@ -93,7 +93,7 @@
 		w.fail(err)
 	}
 	time.Sleep(max(lapseTime-crashBack, 0))
-	u.vm.Leave()
+	u.vm.DeleteEntry()
 	w.history.disturbed(span{node: anUpstream, from: from, to: time.Now(), what: RequestCrashes})
 }
 
@@ -106,7 +106,7 @@
 	}
 	under := make(map[string]map[string]time.Time)
 	for _, o := range j.h.seen {
-		if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPath) || ended[o.VM].IsZero() {
+		if o.Kind != groupengine.RequestExecuted || !strings.HasPrefix(o.Target, crashPath) || ended[o.VM].IsZero() {
 			continue
 		}
 		if under[o.Target] == nil {
@@ -138,7 +138,7 @@
 	last := ""
 	for _, o := range j.h.seen {
 		c, ours := j.calls[o.Request]
-		if o.Kind == groupengine.Arrived && o.Target == target && ours && o.At.After(known.Add(contact+j.slack)) && j.inTouch(c.node, o.At) {
+		if o.Kind == groupengine.RequestReceived && o.Target == target && ours && o.At.After(known.Add(contact+j.slack)) && j.inTouch(c.node, o.At) {
 			late++
 			last = o.Request
 		}
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -46,21 +46,21 @@
 	case StoreSlow:
 		w.during(f, everyNode, func() { w.delayStore(100 * time.Millisecond) }, func() { w.delayStore(0) })
 	case StoreForgets:
-		w.store.Forget()
+		w.store.DropHistory()
 	case StoreLoses:
-		w.store.LoseAnswers(3)
+		w.store.LoseResponses(3)
 	case NodeCut:
 		lever(n.way, faultproxy.Freeze, n.number)
 	case NodeOneWay:
-		lever(n.way, faultproxy.LoseAnswers, n.number)
+		lever(n.way, faultproxy.LoseResponses, n.number)
 	case NodeSilence:
-		w.during(f, n.number, n.way.proxy.Silence, func() {})
+		w.during(f, n.number, n.way.proxy.BlackholeConnections, func() {})
 	case LinkCut:
 		lever(n.links, faultproxy.Freeze, n.number)
 	case LinkOneWay:
-		lever(n.links, faultproxy.LoseAnswers, n.number)
+		lever(n.links, faultproxy.LoseResponses, n.number)
 	case LinkSilence:
-		w.during(f, n.number, n.links.proxy.Silence, func() {})
+		w.during(f, n.number, n.links.proxy.BlackholeConnections, func() {})
 	case LinkBreak:
 		w.during(f, n.number, n.links.proxy.Break, func() {})
 	case NodeKill:
@@ -218,31 +218,31 @@
 	on := func(begin, end func()) { w.during(f, anUpstream, begin, end) }
 	switch f.Kind {
 	case UpstreamDies:
-		w.retire(u, f, func() { w.end(u); time.Sleep(lapseTime); u.vm.Leave() })
+		w.retire(u, f, func() { w.end(u); time.Sleep(lapseTime); u.vm.DeleteEntry() })
 	case UpstreamDrains, PlainDrains:
 		w.retire(u, f, func() {
 			u.vm.Drain()
 			w.history.departed(u.id)
 			time.Sleep(f.For)
-			u.vm.Leave()
+			u.vm.DeleteEntry()
 			w.end(u)
 		})
 	case UpstreamLeaves:
-		w.retire(u, f, func() { u.vm.Leave(); w.history.departed(u.id); time.Sleep(f.For); w.end(u) })
+		w.retire(u, f, func() { u.vm.DeleteEntry(); w.history.departed(u.id); time.Sleep(f.For); w.end(u) })
 	case UpstreamCut, PlainCut:
 		on(func() { u.way.change(faultproxy.Freeze, 1) }, func() { u.way.change(faultproxy.Freeze, -1) })
 	case UpstreamReset:
 		on(u.way.proxy.Break, func() {})
 	case UpstreamSilence:
-		on(u.way.proxy.Silence, func() {})
+		on(u.way.proxy.BlackholeConnections, func() {})
 	case UpstreamStalls:
-		on(func() { u.vm.Stall.Store(3) }, func() { u.vm.Stall.Store(0) })
+		on(func() { u.vm.StallAfter.Store(3) }, func() { u.vm.StallAfter.Store(0) })
 	case UpstreamRefuses:
 		on(func() { u.vm.Refuse.Store(true) }, func() { u.vm.Refuse.Store(false) })
 	case AllRefuse:
 		w.during(f, anUpstream, func() { refuse(live, true) }, func() { refuse(live, false) })
 	case UpstreamCuts:
-		on(func() { u.vm.CutAfter.Store(3) }, func() { u.vm.CutAfter.Store(0) })
+		on(func() { u.vm.TruncateAfter.Store(3) }, func() { u.vm.TruncateAfter.Store(0) })
 	case UpstreamLimits:
 		w.says(f, serving(live, f.Target), limitHeader(), false)
 	case UpstreamRests:
@@ -250,7 +250,7 @@
 	case UpstreamSays:
 		w.saysItLeaves(f, serving(live, f.Target))
 	case UpstreamForeign:
-		on(func() { u.vm.ForeignID.Store(true) }, func() { u.vm.ForeignID.Store(false) })
+		on(func() { u.vm.WrongAttemptID.Store(true) }, func() { u.vm.WrongAttemptID.Store(false) })
 	default:
 		w.fail(fmt.Errorf("nothing does %s", f.Kind))
 	}
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -123,7 +123,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.on[m] += by
-	for _, gravest := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseAnswers} {
+	for _, gravest := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseResponses} {
 		if l.on[gravest] > 0 {
 			l.proxy.Set(gravest)
 			return
@@ -195,8 +195,8 @@
 		return errors.Wrap(err, "proxy of a VM")
 	}
 	u := &upstream{id: fmt.Sprintf("vm-%d", number), number: number, plain: plain, way: &lever{proxy: proxy, on: make(map[faultproxy.Mode]int)}}
-	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), Zone: w.domain(number), Domain: "fabric-" + w.domain(number),
-		Load: loadOf(number), Events: events, Pause: eventPause, Work: plainWork, Observe: w.observe, Member: w.member, StallBound: stallBound}, w.store)
+	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), FailureDomain: w.domain(number), FabricDomain: "fabric-" + w.domain(number),
+		LoadTime: loadOf(number), Events: events, EventInterval: eventPause, ServiceTime: plainWork, Observe: w.observe, FindVM: w.member, StallBound: stallBound}, w.store)
 	server, err := w.serve(w.addr(roleVM, number, vmPort), u.vm)
 	if err != nil {
 		return err
@@ -234,17 +234,17 @@
 func (w *world) observe(o groupengine.Observation) {
 	w.history.observe(o)
 	w.crashIfAsked(o)
-	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.Old.Name == o.Group {
+	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.OldGroup.Name == o.Group {
 		return
 	}
 	if o.OldMembers[0] == o.VM {
-		if o.Old.State == "open" {
+		if o.OldGroup.State == "open" {
 			w.history.took(o)
 		}
 		return
 	}
 	head := w.member(o.OldMembers[0])
-	if head != nil && head.In(o.Old.Name, o.Old.Epoch) && head.State() == "open" {
+	if head != nil && head.InGroup(o.OldGroup.Name, o.OldGroup.Epoch) && head.State() == "open" {
 		w.history.took(o)
 	}
 }
@@ -272,7 +272,7 @@
 			return
 		case now := <-ticker.C:
 			for _, u := range w.live() {
-				u.vm.Watch(now)
+				u.vm.CheckMembers(now)
 			}
 		}
 	}
--- a/test/standin/cmd/platformstandin/main.go
+++ b/test/standin/cmd/platformstandin/main.go
@@ -43,8 +43,8 @@
 			return fmt.Errorf("%q is not DOMAIN=NETWORK", pair)
 		}
 		for n := 1; n <= engines; n++ {
-			c := groupengine.Config{ID: fmt.Sprintf("%s-gpu-%d", domain, n), Service: "bulletins", Domain: domain + "-f1",
-				Load: 300 * time.Millisecond, Events: 12, Pause: 40 * time.Millisecond}
+			c := groupengine.Config{ID: fmt.Sprintf("%s-gpu-%d", domain, n), Service: "bulletins", FabricDomain: domain + "-f1",
+				LoadTime: 300 * time.Millisecond, Events: 12, EventInterval: 40 * time.Millisecond}
 			if err := add(store, c, domain, fmt.Sprintf("%s.%d:%d", network, n, port), 0); err != nil {
 				return err
 			}
@@ -61,7 +61,7 @@
 
 // add starts a VM, which reports the limit unless it is zero.
 func add(store *objectstore.Store, c groupengine.Config, domain, address string, limit float64) error {
-	c.Zone, c.Address = domain, address
+	c.FailureDomain, c.Address = domain, address
 	vm := groupengine.New(c, store)
 	if limit > 0 {
 		vm.Condition.Store(&http.Header{"Server-Limit": {fmt.Sprint(limit)}})
--- a/test/standin/engine/engine.go
+++ b/test/standin/engine/engine.go
@@ -91,7 +91,7 @@
 	executions       []Execution
 	hits             int
 	orders           []engine.Order
-	onBegin          func(vm string, x Execution)
+	onExecution      func(vm string, x Execution)
 	onOrder          func(vm string, o engine.Order)
 }
 
@@ -113,11 +113,11 @@
 	return append([]Execution(nil), e.executions...)
 }
 
-// OnBegin sets a function to call at the start of each run. It is called with the engine locked.
-func (e *Engine) OnBegin(f func(vm string, x Execution)) {
+// OnExecution sets a function to call at the start of each run. It is called with the engine locked.
+func (e *Engine) OnExecution(f func(vm string, x Execution)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.onBegin = f
+	e.onExecution = f
 }
 
 // OnOrder sets a function to call when an order takes effect. It is called with the engine locked.
@@ -182,8 +182,8 @@
 	e.breakAfter = n
 }
 
-// Forget simulates a restart of the engine: it stops all runs and drops the order.
-func (e *Engine) Forget() {
+// Reset simulates a restart of the engine: it stops all runs and drops the order.
+func (e *Engine) Reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.order = engine.Order{}
@@ -330,8 +330,8 @@
 		Prompt:     string(body),
 	}
 	e.executions = append(e.executions, x)
-	if e.onBegin != nil {
-		e.onBegin(e.VM, x)
+	if e.onExecution != nil {
+		e.onExecution(e.VM, x)
 	}
 	active := &run{id: strings.ToLower(ulid.Make().String()), updated: make(chan struct{})}
 	e.runs[active.id] = active
--- a/test/standin/faultproxy/faultproxy.go
+++ b/test/standin/faultproxy/faultproxy.go
@@ -19,8 +19,8 @@
 	Refuse
 	// Freeze accepts new connections and delays all bytes, in both directions, until the mode changes.
 	Freeze
-	// LoseAnswers forwards the bytes of requests and drops those of responses.
-	LoseAnswers
+	// LoseResponses forwards the bytes of requests and drops those of responses.
+	LoseResponses
 	// LoseRequests drops the bytes of requests.
 	LoseRequests
 )
@@ -98,8 +98,8 @@
 	p.delay = d
 }
 
-// Silence drops all further bytes of the existing connections without closing them. New connections are not affected.
-func (p *Proxy) Silence() {
+// BlackholeConnections drops all further bytes of the existing connections without closing them. New connections are not affected.
+func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
@@ -190,7 +190,7 @@
 	defer p.untrack(upstream)
 	done := make(chan struct{}, 2)
 	go func() { p.copy(upstream, c, l, LoseRequests); done <- struct{}{} }()
-	go func() { p.copy(c, upstream, l, LoseAnswers); done <- struct{}{} }()
+	go func() { p.copy(c, upstream, l, LoseResponses); done <- struct{}{} }()
 	<-done
 }
 
--- a/test/standin/groupengine/groupengine.go
+++ b/test/standin/groupengine/groupengine.go
@@ -48,32 +48,33 @@
 
 // Config configures a VM.
 type Config struct {
-	ID, Service, Address, Zone, Domain string
-	// Load is the time that a join takes until the VM is ready, and the staging of a model.
-	Load time.Duration
+	ID, Service, Address, FailureDomain, FabricDomain string
+	// LoadTime is the time that a join takes until the VM is ready, and the staging of a model.
+	LoadTime time.Duration
 	// Events is the number of events of a stream. 0 makes the VM a plain service.
 	Events int
-	// Pause is the time between two events.
-	Pause time.Duration
-	// Work is how long a request to a plain service takes.
-	Work time.Duration
+	// EventInterval is the time between two events.
+	EventInterval time.Duration
+	// ServiceTime is how long a request to a plain service takes.
+	ServiceTime time.Duration
 	// Observe is called for each observation, before the response is sent; nil for none. It is called for
 	// BecameReady with the VM locked.
 	Observe func(Observation)
-	// Member returns another VM by its ID, nil for one that was removed. If it is set, a head stalls its streams
+	// FindVM returns another VM by its ID, nil for one that was removed. If it is set, a head stalls its streams
 	// while a member is lost and breaks after StallBound.
-	Member     func(id string) *VM
+	FindVM     func(id string) *VM
 	StallBound time.Duration
 }
 
 // Kind is the kind of an Observation.
 type Kind uint8
 
-// The kinds. Every request is observed as Arrived first and as Ended last, with Ran between them if it was executed.
+// The kinds. Every request is observed as RequestReceived first and as RequestFinished last, with RequestExecuted
+// between them if it was executed.
 const (
-	Arrived Kind = iota
-	Ran
-	Ended
+	RequestReceived Kind = iota
+	RequestExecuted
+	RequestFinished
 	Joined
 	BecameReady
 	Opened
@@ -90,8 +91,8 @@
 	Group   string
 	Epoch   uint64
 	Members []string
-	// Old is the VM's group before a join or open order, and OldMembers its VMs.
-	Old        Group
+	// OldGroup is the VM's group before a join or open order, and OldMembers its VMs.
+	OldGroup   Group
 	OldMembers []string
 }
 
@@ -99,21 +100,21 @@
 type VM struct {
 	config Config
 	store  *objectstore.Store
-	// Ran counts the requests that were executed.
-	Ran atomic.Int64
-	// Asked counts all requests that were received.
-	Asked atomic.Int64
+	// Executed counts the requests that were executed.
+	Executed atomic.Int64
+	// Received counts all requests that were received.
+	Received atomic.Int64
 	// Refuse makes the VM reject every request as not run.
 	Refuse atomic.Bool
-	// CutAfter is the number of complete events after which each stream breaks, in the middle of the next event; 0
+	// TruncateAfter is the number of complete events after which each stream breaks, in the middle of the next event; 0
 	// for never.
-	CutAfter atomic.Int64
-	// Stall is the number of events after which each stream stalls; 0 for never.
-	Stall atomic.Int64
+	TruncateAfter atomic.Int64
+	// StallAfter is the number of events after which each stream stalls; 0 for never.
+	StallAfter atomic.Int64
 	// StallFor is how long a stream stalls before it continues, in nanoseconds; 0 for good.
 	StallFor atomic.Int64
-	// ForeignID makes responses carry the ID of another request.
-	ForeignID atomic.Bool
+	// WrongAttemptID makes responses carry the ID of another request.
+	WrongAttemptID atomic.Bool
 	// Condition holds headers with the VM's condition that are added to all responses to requests; nil for none.
 	Condition atomic.Pointer[http.Header]
 
@@ -145,9 +146,9 @@
 	return v
 }
 
-// StartAgain restarts the VM: a new incarnation under the same ID loses all state but the models staged on the host.
+// Restart restarts the VM: a new incarnation under the same ID loses all state but the models staged on the host.
 // It writes an entry only if publish is set.
-func (v *VM) StartAgain(publish bool) {
+func (v *VM) Restart(publish bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.born = max(time.Now().UnixMilli(), v.born+1)
@@ -165,26 +166,26 @@
 	v.publish()
 }
 
-// In reports whether the VM is in the group and has finished joining it.
-func (v *VM) In(group string, epoch uint64) bool {
+// InGroup reports whether the VM is in the group and has finished joining it.
+func (v *VM) InGroup(group string, epoch uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.group != nil && v.group.Name == group && v.group.Epoch == epoch && v.group.State != "joining"
 }
 
-// Watch checks, if the VM is the head of an open group, whether the group's members are still in it, and breaks the
+// CheckMembers checks, if the VM is the head of an open group, whether the group's members are still in it, and breaks the
 // group once a member has been lost for StallBound. The test must call it several times a second.
-func (v *VM) Watch(now time.Time) {
+func (v *VM) CheckMembers(now time.Time) {
 	v.mu.Lock()
 	g, members := v.group, v.members
 	v.mu.Unlock()
-	if v.config.Member == nil || g == nil || g.State != "open" {
+	if v.config.FindVM == nil || g == nil || g.State != "open" {
 		return
 	}
 	complete := true
 	for _, id := range members {
-		member := v.config.Member(id)
-		complete = complete && member != nil && member.In(g.Name, g.Epoch)
+		member := v.config.FindVM(id)
+		complete = complete && member != nil && member.InGroup(g.Name, g.Epoch)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -229,8 +230,8 @@
 	return o
 }
 
-// Leave deletes the VM's entry for good, without a drain before. The VM continues to serve.
-func (v *VM) Leave() {
+// DeleteEntry deletes the VM's entry for good, without a drain before. The VM continues to serve.
+func (v *VM) DeleteEntry() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.entryDeleted = true
@@ -269,8 +270,8 @@
 	if v.entryDeleted {
 		return
 	}
-	e := entry{Service: v.config.Service, Addr: v.config.Address, Zone: v.config.Zone, Slots: 8, State: "ready",
-		Domain: v.config.Domain, Staged: v.staged, Models: []model{}, Group: v.group, Version: "v1", Seq: v.entriesWritten, Born: v.born}
+	e := entry{Service: v.config.Service, Addr: v.config.Address, Zone: v.config.FailureDomain, Slots: 8, State: "ready",
+		Domain: v.config.FabricDomain, Staged: v.staged, Models: []model{}, Group: v.group, Version: "v1", Seq: v.entriesWritten, Born: v.born}
 	v.entriesWritten++
 	if v.draining {
 		e.State = "draining"
@@ -351,7 +352,7 @@
 		observation.Kind = Joined
 	}
 	if v.group != nil {
-		observation.Old = *v.group
+		observation.OldGroup = *v.group
 	}
 	status := v.applyOrder(o)
 	if status != http.StatusConflict {
@@ -370,7 +371,7 @@
 		v.join(o)
 		return http.StatusAccepted
 	case "stage":
-		v.afterDelay(v.config.Load, func() { v.staged = []string{o.Model} })
+		v.afterDelay(v.config.LoadTime, func() { v.staged = []string{o.Model} })
 		return http.StatusAccepted
 	case "open":
 		if !matches || v.group.State != "ready" {
@@ -394,7 +395,7 @@
 	return http.StatusConflict
 }
 
-// join puts the VM into the order's group, where it becomes ready after Config.Load. The caller must hold v.mu.
+// join puts the VM into the order's group, where it becomes ready after Config.LoadTime. The caller must hold v.mu.
 func (v *VM) join(o order) {
 	rank := 0
 	for i, id := range o.Members {
@@ -404,7 +405,7 @@
 	}
 	g := &Group{Name: o.Group, Epoch: o.Epoch, Rank: rank, State: "joining"}
 	v.group, v.members, v.model = g, o.Members, o.Model
-	v.afterDelay(v.config.Load, func() {
+	v.afterDelay(v.config.LoadTime, func() {
 		if v.group == g {
 			ready := *g
 			ready.State = "ready"
@@ -426,7 +427,7 @@
 }
 
 func (v *VM) request(w http.ResponseWriter, r *http.Request) {
-	v.Asked.Add(1)
+	v.Received.Add(1)
 	id := r.Header.Get("Attempt-Id")
 	from, _, _ := strings.Cut(r.RemoteAddr, ":")
 	observeRequest := func(k Kind) {
@@ -434,15 +435,15 @@
 		o.Request, o.Target, o.From = id, r.RequestURI, from
 		v.observe(o)
 	}
-	observeRequest(Arrived)
-	defer observeRequest(Ended)
+	observeRequest(RequestReceived)
+	defer observeRequest(RequestFinished)
 	v.mu.Lock()
 	v.headers = append(v.headers, r.Header.Clone())
 	v.targets = append(v.targets, r.RequestURI)
 	open := v.config.Events == 0 || (v.group != nil && v.group.State == "open" && v.group.Rank == 0)
 	v.mu.Unlock()
 	echoedID := id
-	if v.ForeignID.Load() {
+	if v.WrongAttemptID.Load() {
 		echoedID = "someone-elses"
 	}
 	w.Header().Set("Attempt-Id", echoedID)
@@ -452,11 +453,11 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	v.Ran.Add(1)
-	observeRequest(Ran)
+	v.Executed.Add(1)
+	observeRequest(RequestExecuted)
 	w.Header().Set("Response-Seal", "seal-of-"+v.config.ID)
 	if v.config.Events == 0 {
-		time.Sleep(v.config.Work)
+		time.Sleep(v.config.ServiceTime)
 		_, _ = fmt.Fprintf(w, "answer of %s to %s", v.config.Service, r.RequestURI)
 		return
 	}
--- a/test/standin/groupengine/stream.go
+++ b/test/standin/groupengine/stream.go
@@ -15,12 +15,12 @@
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	sent := int64(0)
 	for i := from + 1; i <= v.eventCount(r); i++ {
-		if n := v.CutAfter.Load(); n > 0 && sent >= n {
+		if n := v.TruncateAfter.Load(); n > 0 && sent >= n {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: half", i)
 			_ = flush.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if n := v.Stall.Load(); n > 0 && sent >= n {
+		if n := v.StallAfter.Load(); n > 0 && sent >= n {
 			if !v.stall(r, sent == n) {
 				return
 			}
@@ -33,7 +33,7 @@
 		}
 		_ = flush.Flush()
 		sent++
-		time.Sleep(v.config.Pause)
+		time.Sleep(v.config.EventInterval)
 	}
 }
 
@@ -72,7 +72,7 @@
 
 // awaitMembers waits while the head misses a member. It returns false if the head broke or the caller disconnected.
 func (v *VM) awaitMembers(r *http.Request) bool {
-	if v.config.Member == nil {
+	if v.config.FindVM == nil {
 		return true
 	}
 	for {
--- a/test/standin/objectstore/objectstore.go
+++ b/test/standin/objectstore/objectstore.go
@@ -82,8 +82,8 @@
 	s.record(event{kind: kind, rev: s.rev, Deleted: true, Object: Object{Metadata: Metadata{Name: name, Rev: s.rev}}})
 }
 
-// Forget drops the history, so that watches from an older revision get 410 Gone.
-func (s *Store) Forget() {
+// DropHistory drops the history, so that watches from an older revision get 410 Gone.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.compactedRev = nil, s.rev
@@ -98,8 +98,8 @@
 	s.notifyWatchers()
 }
 
-// LoseAnswers breaks the connections of the next n writes after they took effect.
-func (s *Store) LoseAnswers(n int) {
+// LoseResponses breaks the connections of the next n writes after they took effect.
+func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.responsesToLose = n
--- a/test/standin/platform/platform.go
+++ b/test/standin/platform/platform.go
@@ -106,8 +106,8 @@
 	p.limiter = rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
 
-// LoseAnswers breaks the connection of the next n writes after they took effect.
-func (p *Platform) LoseAnswers(n int) {
+// LoseResponses breaks the connection of the next n writes after they took effect.
+func (p *Platform) LoseResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.responsesToLose = n
