--- a/test/integration/groups_test.go
+++ b/test/integration/groups_test.go
@@ -147,7 +147,7 @@
 }
 
 // TestVMCutFromOneEntryOnly partitions a group's head from one entry. The group is complete, so the other entry
-// keeps serving. The partitioned entry rejects requests as not run or spills them, and its verdicts stay true.
+// keeps serving. The partitioned entry rejects requests as not run or spills them, and never with a wrong verdict.
 func TestVMCutFromOneEntryOnly(t *testing.T) {
 	t.Parallel()
 	s := newGroupDeployment(t, 4)
