--- a/test/standin/faultproxy/faultproxy.go
+++ b/test/standin/faultproxy/faultproxy.go
@@ -98,7 +98,8 @@
 	p.delay = d
 }
 
-// BlackholeConnections drops all further bytes of the existing connections without closing them. New connections are not affected.
+// BlackholeConnections drops all further bytes of the existing connections without closing them. New connections are
+// not affected.
 func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
