--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -60,7 +60,7 @@
 mutant "a lost response to a write counts as a failure" internal/control/apply.go \
   's/case errors\.Is\(err, platform\.ErrUnknown\):\n\t\treturn k\.confirmEdit\(ctx, m, e\)\n//' ./test/integration TestAcceptedWriteWhoseAnswerIsLost
 mutant "a fresh node is ready with a peer's table though the platform answers" internal/control/exchange.go \
-  's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeThatMeetsOnlyAStalePeer
+  's/m\.GetTableLoaded\(\) && k\.platformDown\.Load\(\)/m.GetTableLoaded()/; ' ./test/integration TestFreshNodeWithOnlyAStalePeer
 mutant "a non-idempotent request is sent on a reused connection" internal/relay/sender.go \
   's/transport = s\.singleUse/_ = s.singleUse/' ./internal/relay TestNoReplayOnReusedConnection
 mutant "a request that reached the upstream counts as not run" internal/relay/sender.go \
@@ -80,7 +80,7 @@
 mutant "a request whose key is already in progress is sent again" internal/ledger/ledger.go \
   's/case found && old\.Stage != Released:/case false:/' ./internal/ledger TestAtMostOnce
 mutant "a caller's request ID names the attempt" internal/entry/dispatch.go \
-  's/attemptID := newRequestID\(\)/attemptID := "a"/' ./test/integration TestCallerCannotPassAsItsFirstTry
+  's/attemptID := newRequestID\(\)/attemptID := "a"/' ./test/integration TestCallerCannotForgeItsFirstAttempt
 mutant "a leaving VM receives requests" internal/view/view.go \
   's/ && !probe\.Leaving && !s\.Leaving\[probe\.VM\]//' ./test/integration TestLeavingUpstreamGetsNoNewWork
 mutant "a drain is not kept while the platform is down" internal/control/drain.go \
@@ -162,7 +162,7 @@
 mutant "a slow call is canceled without an alternative" internal/gateway/server.go \
   's/if s\.targets\.reserve\(now, sent, s\.nodes\(\)\)/s.targets.reserve(now, sent, s.nodes())\n\t\tif true/' ./internal/gateway TestSlowCallWithoutAlternativeCompletes
 mutant "a paused node counts its own pause as stalls of heads" internal/gateway/heldup.go \
-  's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' ./test/integration TestPausedNodeBlamesNoHead
+  's/if firstCheck \|\| elapsed <= maxCheckDelay/if firstCheck || elapsed >= 0/' ./test/integration TestPausedNodeFailsNoHead
 mutant "a VM counts as lost although no VM responds" internal/director/reference.go \
   's/if gs := s\.groups\[vm\.Group\]; gs == nil \|\| gs\.reference == nil/if true/' ./internal/director TestDirectorWithoutResponsesMarksNoVMLost
 mutant "simultaneous silence of all heads counts as stalls" internal/gateway/stalls.go \
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -101,7 +101,7 @@
 // checkNotRun checks that requests refused as not run did not run, not even later.
 func (ck *checker) checkNotRun() {
 	for _, o := range ck.history.observations {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			continue
 		}
 		switch c := ck.calls[o.Request]; c.status {
@@ -116,7 +116,7 @@
 func (ck *checker) checkAttempts() {
 	ran, counted := make(map[string]int), make(map[string]int)
 	for _, o := range ck.history.observations {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			continue
 		}
 		ran[o.Request]++
@@ -148,7 +148,7 @@
 // checkRequested checks that only requests that callers sent are run.
 func (ck *checker) checkRequested() {
 	for _, o := range ck.history.observations {
-		if _, known := ck.calls[o.Request]; o.Kind == groupengine.Ran && (!known || strings.HasPrefix(o.Request, "smuggled")) {
+		if _, known := ck.calls[o.Request]; o.Kind == groupengine.RequestExecuted && (!known || strings.HasPrefix(o.Request, "smuggled")) {
 			ck.report("asked for", o.Request, "ran at %s, target %s", o.VM, o.Target)
 		}
 	}
@@ -178,7 +178,7 @@
 		}
 	}
 	for _, o := range ck.history.joinsFromOpenGroups {
-		ck.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.Old.Name)
+		ck.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.OldGroup.Name)
 	}
 }
 
@@ -205,7 +205,7 @@
 		for _, o := range ck.history.observations {
 			c, known := ck.calls[o.Request]
 			late := o.At.Sub(departure.at)
-			if o.Kind == groupengine.Arrived && o.VM == departure.vm && known && late > drainBound+ck.slack && ck.undisturbed(c.node, c.sent) && ck.undisturbed(c.node, o.At) {
+			if o.Kind == groupengine.RequestReceived && o.VM == departure.vm && known && late > drainBound+ck.slack && ck.undisturbed(c.node, c.sent) && ck.undisturbed(c.node, o.At) {
 				ck.report("leaving upstreams", o.Request, "reached %s %d ms after it left", departure.vm, late.Milliseconds())
 			}
 		}
@@ -256,7 +256,7 @@
 	}
 	for _, o := range ck.history.observations {
 		c := ck.calls[o.Request]
-		if at, ok := revokedAt[c.key]; ok && o.Kind == groupengine.Ran && c.sent.Sub(at) > revokeBound {
+		if at, ok := revokedAt[c.key]; ok && o.Kind == groupengine.RequestExecuted && c.sent.Sub(at) > revokeBound {
 			ck.report("revoked keys end", o.Request, "ran with a key that was revoked %d ms before it was sent", c.sent.Sub(at).Milliseconds())
 		}
 	}
@@ -275,7 +275,7 @@
 	}
 	for _, o := range ck.history.observations {
 		c, known := ck.calls[o.Request]
-		if o.Kind != groupengine.Arrived || !known {
+		if o.Kind != groupengine.RequestReceived || !known {
 			continue
 		}
 		if !arrived[o.Request] {
@@ -316,7 +316,7 @@
 	const maxLate = 4
 	finished := make(map[string]time.Time)
 	for _, o := range ck.history.observations {
-		if o.Kind == groupengine.Ended && o.At.After(finished[o.Request]) {
+		if o.Kind == groupengine.RequestFinished && o.At.After(finished[o.Request]) {
 			finished[o.Request] = o.At
 		}
 	}
@@ -339,7 +339,7 @@
 func (ck *checker) checkRefusalTimes() {
 	arrived := make(map[string]bool)
 	for _, o := range ck.history.observations {
-		if o.Kind == groupengine.Arrived {
+		if o.Kind == groupengine.RequestReceived {
 			arrived[o.Request] = true
 		}
 	}
@@ -399,7 +399,7 @@
 func (ck *checker) runTimes() map[string][]time.Time {
 	out := make(map[string][]time.Time)
 	for _, o := range ck.history.observations {
-		if o.Kind == groupengine.Ran {
+		if o.Kind == groupengine.RequestExecuted {
 			out[o.Request] = append(out[o.Request], o.At)
 		}
 	}
--- a/test/soak/conditions.go
+++ b/test/soak/conditions.go
@@ -83,7 +83,7 @@
 		u.vm.Condition.Store(&http.Header{"Server-Leaving": {"1"}})
 		time.Sleep(f.For)
 		tb.history.recordCondition(reportedCondition{f.Kind, u.id, from, time.Now()})
-		u.vm.Leave()
+		u.vm.DeleteEntry()
 		tb.terminate(u)
 	})
 }
@@ -180,7 +180,7 @@
 	out := make(map[int][]time.Time)
 	for _, o := range ck.history.observations {
 		c, known := ck.calls[o.Request]
-		if o.VM == rc.vm && o.Kind == groupengine.Ended && known && o.At.After(rc.from) && o.At.Before(rc.to) && c.sent.After(rc.from) {
+		if o.VM == rc.vm && o.Kind == groupengine.RequestFinished && known && o.At.After(rc.from) && o.At.Before(rc.to) && c.sent.After(rc.from) {
 			out[c.node] = append(out[c.node], o.At)
 		}
 	}
@@ -197,7 +197,7 @@
 		if rc.kind == UpstreamRequestsBackoff {
 			until = rc.to.Add(requestedBackoff)
 		}
-		if o.VM == rc.vm && o.Kind == groupengine.Arrived && known && o.At.After(rc.from) && o.At.Before(until) {
+		if o.VM == rc.vm && o.Kind == groupengine.RequestReceived && known && o.At.After(rc.from) && o.At.Before(until) {
 			out = append(out, o)
 		}
 	}
--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -64,7 +64,7 @@
 // crashOnRequest crashes a VM that starts to run a request marked to do so. The VM's handler calls
 // it; the panic aborts that handler.
 func (tb *testbed) crashOnRequest(o groupengine.Observation) {
-	if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPathPrefix) {
+	if o.Kind != groupengine.RequestExecuted || !strings.HasPrefix(o.Target, crashPathPrefix) {
 		return
 	}
 	tb.mu.Lock()
@@ -95,7 +95,7 @@
 		tb.recordError(err)
 	}
 	time.Sleep(max(entryExpiry-crashDowntime, 0))
-	u.vm.Leave()
+	u.vm.DeleteEntry()
 	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: RequestCrashesUpstreams})
 }
 
@@ -109,7 +109,7 @@
 	}
 	runsByTarget := make(map[string]map[string]time.Time)
 	for _, o := range ck.history.observations {
-		if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPathPrefix) || crashedAt[o.VM].IsZero() {
+		if o.Kind != groupengine.RequestExecuted || !strings.HasPrefix(o.Target, crashPathPrefix) || crashedAt[o.VM].IsZero() {
 			continue
 		}
 		if runsByTarget[o.Target] == nil {
@@ -141,7 +141,7 @@
 	last := ""
 	for _, o := range ck.history.observations {
 		c, known := ck.calls[o.Request]
-		if o.Kind == groupengine.Arrived && o.Target == target && known && o.At.After(quarantinedAt.Add(reconnectTime+ck.slack)) && ck.undisturbed(c.node, o.At) {
+		if o.Kind == groupengine.RequestReceived && o.Target == target && known && o.At.After(quarantinedAt.Add(reconnectTime+ck.slack)) && ck.undisturbed(c.node, o.At) {
 			sends++
 			last = o.Request
 		}
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -132,7 +132,7 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.active[m] += by
-	for _, mode := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseAnswers} {
+	for _, mode := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseResponses} {
 		if fl.active[mode] > 0 {
 			fl.proxy.Set(mode)
 			return
@@ -204,8 +204,8 @@
 		return errors.Wrap(err, "start proxy of a VM")
 	}
 	u := &upstream{id: fmt.Sprintf("vm-%d", number), number: number, plain: plain, link: &faultLink{proxy: proxy, active: make(map[faultproxy.Mode]int)}}
-	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), Zone: tb.failureDomain(number), Domain: "fabric-" + tb.failureDomain(number),
-		Load: loadDuration(number), Events: events, Pause: eventInterval, Work: plainServiceTime, Observe: tb.observe, Member: tb.findVM, StallBound: stallBound}, tb.store)
+	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), FailureDomain: tb.failureDomain(number), FabricDomain: "fabric-" + tb.failureDomain(number),
+		LoadTime: loadDuration(number), Events: events, EventInterval: eventInterval, ServiceTime: plainServiceTime, Observe: tb.observe, FindVM: tb.findVM, StallBound: stallBound}, tb.store)
 	server, err := tb.serve(tb.addr(roleVM, number, vmPort), u.vm)
 	if err != nil {
 		return err
@@ -244,17 +244,17 @@
 func (tb *testbed) observe(o groupengine.Observation) {
 	tb.history.recordObservation(o)
 	tb.crashOnRequest(o)
-	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.Old.Name == o.Group {
+	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.OldGroup.Name == o.Group {
 		return
 	}
 	if o.OldMembers[0] == o.VM {
-		if o.Old.State == "open" {
+		if o.OldGroup.State == "open" {
 			tb.history.recordJoinFromOpenGroup(o)
 		}
 		return
 	}
 	head := tb.findVM(o.OldMembers[0])
-	if head != nil && head.In(o.Old.Name, o.Old.Epoch) && head.State() == "open" {
+	if head != nil && head.InGroup(o.OldGroup.Name, o.OldGroup.Epoch) && head.State() == "open" {
 		tb.history.recordJoinFromOpenGroup(o)
 	}
 }
@@ -282,7 +282,7 @@
 			return
 		case now := <-ticker.C:
 			for _, u := range tb.liveUpstreams() {
-				u.vm.Watch(now)
+				u.vm.CheckMembers(now)
 			}
 		}
 	}
