--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Shows that the tests see their mechanisms: each mutant takes one mechanism
-# out, in a copy of the tree, and the named test must fail. Prints one line per
-# mutant and ends with 1 if any survives. ONLY=text takes those whose name holds
-# the text.
+# Checks that the tests detect missing mechanisms: each mutant removes one
+# mechanism in a copy of the tree, and the named test must fail. Prints one line
+# per mutant and exits with 1 if any survives. ONLY=text runs those whose name
+# contains the text.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
