--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -101,7 +101,7 @@
 // checkNotRun checks that requests refused as not run did not run, not even later.
 func (ck *checker) checkNotRun() {
 	for _, o := range ck.history.observations {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			continue
 		}
 		switch c := ck.calls[o.Request]; c.status {
@@ -116,7 +116,7 @@
 func (ck *checker) checkAttempts() {
 	ran, counted := make(map[string]int), make(map[string]int)
 	for _, o := range ck.history.observations {
-		if o.Kind != groupengine.Ran {
+		if o.Kind != groupengine.RequestExecuted {
 			continue
 		}
 		ran[o.Request]++
@@ -137,8 +137,8 @@
 // terminatedSoonAfter reports whether the VM was terminated while a request that it started may still
 // have been running there. Such a run does not count as an attempt.
 func (ck *checker) terminatedSoonAfter(o groupengine.Observation) bool {
-	for _, d := range ck.history.terminations {
-		if d.vm == o.VM && !d.at.Before(o.At) && d.at.Sub(o.At) < callerTimeout {
+	for _, t := range ck.history.terminations {
+		if t.vm == o.VM && !t.at.Before(o.At) && t.at.Sub(o.At) < callerTimeout {
 			return true
 		}
 	}
@@ -148,7 +148,7 @@
 // checkRequested checks that only requests that callers sent are run.
 func (ck *checker) checkRequested() {
 	for _, o := range ck.history.observations {
-		if _, known := ck.calls[o.Request]; o.Kind == groupengine.Ran && (!known || strings.HasPrefix(o.Request, "smuggled")) {
+		if _, known := ck.calls[o.Request]; o.Kind == groupengine.RequestExecuted && (!known || strings.HasPrefix(o.Request, "smuggled")) {
 			ck.report("asked for", o.Request, "ran at %s, target %s", o.VM, o.Target)
 		}
 	}
@@ -166,19 +166,19 @@
 func (ck *checker) checkGroups() {
 	ready := make(map[groupGeneration]map[string][]string)
 	for _, o := range ck.history.observations {
-		p := groupGeneration{o.Group, o.Epoch}
+		gen := groupGeneration{o.Group, o.Epoch}
 		switch o.Kind {
 		case groupengine.BecameReady:
-			if ready[p] == nil {
-				ready[p] = make(map[string][]string)
+			if ready[gen] == nil {
+				ready[gen] = make(map[string][]string)
 			}
-			ready[p][o.VM] = o.Members
+			ready[gen][o.VM] = o.Members
 		case groupengine.Opened:
-			ck.checkGroupComplete(o, ready[p])
+			ck.checkGroupComplete(o, ready[gen])
 		}
 	}
 	for _, o := range ck.history.joinsFromOpenGroups {
-		ck.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.Old.Name)
+		ck.report("one group at a time", "", "%s joined %s while the head of %s might serve", o.VM, o.Group, o.OldGroup.Name)
 	}
 }
 
@@ -205,7 +205,7 @@
 		for _, o := range ck.history.observations {
 			c, known := ck.calls[o.Request]
 			late := o.At.Sub(departure.at)
-			if o.Kind == groupengine.Arrived && o.VM == departure.vm && known && late > drainBound+ck.slack && ck.undisturbed(c.node, c.sent) && ck.undisturbed(c.node, o.At) {
+			if o.Kind == groupengine.RequestReceived && o.VM == departure.vm && known && late > drainBound+ck.slack && ck.undisturbed(c.node, c.sent) && ck.undisturbed(c.node, o.At) {
 				ck.report("leaving upstreams", o.Request, "reached %s %d ms after it left", departure.vm, late.Milliseconds())
 			}
 		}
@@ -227,9 +227,9 @@
 	firstServed := make(map[probedVersion]time.Time)
 	for _, c := range ck.history.calls {
 		if c.class == routeProbe && c.status == 200 {
-			l := probedVersion{c.node, c.incarnation, c.version}
-			if old, ok := firstServed[l]; !ok || c.finished.Before(old) {
-				firstServed[l] = c.finished
+			probed := probedVersion{c.node, c.incarnation, c.version}
+			if old, ok := firstServed[probed]; !ok || c.finished.Before(old) {
+				firstServed[probed] = c.finished
 			}
 		}
 	}
@@ -256,14 +256,15 @@
 	}
 	for _, o := range ck.history.observations {
 		c := ck.calls[o.Request]
-		if at, ok := revokedAt[c.key]; ok && o.Kind == groupengine.Ran && c.sent.Sub(at) > revokeBound {
+		if at, ok := revokedAt[c.key]; ok && o.Kind == groupengine.RequestExecuted && c.sent.Sub(at) > revokeBound {
 			ck.report("revoked keys end", o.Request, "ran with a key that was revoked %d ms before it was sent", c.sent.Sub(at).Milliseconds())
 		}
 	}
 }
 
 // checkRepeatBudget checks that the repeated arrivals of requests in any window stay within the
-// budget for repeats.
+// budget for repeats. The budget of a window is computed from the busiest of three: the window
+// itself, and those that start half a window and a whole window earlier.
 func (ck *checker) checkRepeatBudget() {
 	type service struct{ repeats, requests []time.Time }
 	services := map[bool]*service{true: {}, false: {}}
@@ -274,7 +275,7 @@
 	}
 	for _, o := range ck.history.observations {
 		c, known := ck.calls[o.Request]
-		if o.Kind != groupengine.Arrived || !known {
+		if o.Kind != groupengine.RequestReceived || !known {
 			continue
 		}
 		if !arrived[o.Request] {
@@ -309,13 +310,13 @@
 	return n
 }
 
-// checkCanceledWork checks that work for disconnected callers stops within cancelBound, with few
-// exceptions.
+// checkCanceledWork checks that work for disconnected callers stops within cancelBound. It tolerates
+// maxLate late requests, or a quarter of all of them if that is more.
 func (ck *checker) checkCanceledWork() {
-	const tolerated = 4
+	const maxLate = 4
 	finished := make(map[string]time.Time)
 	for _, o := range ck.history.observations {
-		if o.Kind == groupengine.Ended && o.At.After(finished[o.Request]) {
+		if o.Kind == groupengine.RequestFinished && o.At.After(finished[o.Request]) {
 			finished[o.Request] = o.At
 		}
 	}
@@ -329,7 +330,7 @@
 			late++
 		}
 	}
-	if late > tolerated && late*4 > disconnected {
+	if late > maxLate && late*4 > disconnected {
 		ck.report("work for callers that left", "", "%d of %d requests ran on for longer than %s", late, disconnected, cancelBound)
 	}
 }
@@ -338,7 +339,7 @@
 func (ck *checker) checkRefusalTimes() {
 	arrived := make(map[string]bool)
 	for _, o := range ck.history.observations {
-		if o.Kind == groupengine.Arrived {
+		if o.Kind == groupengine.RequestReceived {
 			arrived[o.Request] = true
 		}
 	}
@@ -398,7 +399,7 @@
 func (ck *checker) runTimes() map[string][]time.Time {
 	out := make(map[string][]time.Time)
 	for _, o := range ck.history.observations {
-		if o.Kind == groupengine.Ran {
+		if o.Kind == groupengine.RequestExecuted {
 			out[o.Request] = append(out[o.Request], o.At)
 		}
 	}
@@ -417,7 +418,7 @@
 
 // crashedDuring reports whether a request crashed a VM during the call or shortly before it.
 func (ck *checker) crashedDuring(c call) bool {
-	return slices.ContainsFunc(ck.history.crashes, func(d vmEvent) bool {
-		return d.at.Before(c.finished) && d.at.Add(reconnectTime).After(c.sent)
+	return slices.ContainsFunc(ck.history.crashes, func(crash vmEvent) bool {
+		return crash.at.Before(c.finished) && crash.at.Add(reconnectTime).After(c.sent)
 	})
 }
--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -20,8 +20,8 @@
 	// crashDowntime is the time until a new VM replaces a crashed one.
 	crashDowntime = 1500 * time.Millisecond
 	// terminationsToQuarantine is the number of VMs that must crash under a request before nodes
-	// have to quarantine it. maxSendsAfterQuarantine is how often the request may reach a VM in
-	// total after all nodes must have learned of that.
+	// have to quarantine it. maxSendsAfterQuarantine is how often the nodes together may still send
+	// the request once all of them must know of the quarantine.
 	terminationsToQuarantine = 3
 	maxSendsAfterQuarantine  = 3
 )
@@ -64,7 +64,7 @@
 // crashOnRequest crashes a VM that starts to run a request marked to do so. The VM's handler calls
 // it; the panic aborts that handler.
 func (tb *testbed) crashOnRequest(o groupengine.Observation) {
-	if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPathPrefix) {
+	if o.Kind != groupengine.RequestExecuted || !strings.HasPrefix(o.Target, crashPathPrefix) {
 		return
 	}
 	tb.mu.Lock()
@@ -95,20 +95,21 @@
 		tb.recordError(err)
 	}
 	time.Sleep(max(entryExpiry-crashDowntime, 0))
-	u.vm.Leave()
+	u.vm.DeleteEntry()
 	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: RequestCrashesUpstreams})
 }
 
 // checkCrashingRequests checks that a request under which terminationsToQuarantine VMs have crashed
-// reaches at most maxSendsAfterQuarantine more from connected nodes that had time to learn of it.
+// reaches VMs at most maxSendsAfterQuarantine times after that. It does not count requests that
+// arrive before all nodes had time to learn of the quarantine, or from disturbed nodes.
 func (ck *checker) checkCrashingRequests() {
 	crashedAt := make(map[string]time.Time)
-	for _, d := range ck.history.crashes {
-		crashedAt[d.vm] = d.at
+	for _, crash := range ck.history.crashes {
+		crashedAt[crash.vm] = crash.at
 	}
 	runsByTarget := make(map[string]map[string]time.Time)
 	for _, o := range ck.history.observations {
-		if o.Kind != groupengine.Ran || !strings.HasPrefix(o.Target, crashPathPrefix) || crashedAt[o.VM].IsZero() {
+		if o.Kind != groupengine.RequestExecuted || !strings.HasPrefix(o.Target, crashPathPrefix) || crashedAt[o.VM].IsZero() {
 			continue
 		}
 		if runsByTarget[o.Target] == nil {
@@ -136,16 +137,16 @@
 }
 
 func (ck *checker) checkSendsAfterQuarantine(target string, quarantinedAt time.Time) {
-	late := 0
+	sends := 0
 	last := ""
 	for _, o := range ck.history.observations {
 		c, known := ck.calls[o.Request]
-		if o.Kind == groupengine.Arrived && o.Target == target && known && o.At.After(quarantinedAt.Add(reconnectTime+ck.slack)) && ck.undisturbed(c.node, o.At) {
-			late++
+		if o.Kind == groupengine.RequestReceived && o.Target == target && known && o.At.After(quarantinedAt.Add(reconnectTime+ck.slack)) && ck.undisturbed(c.node, o.At) {
+			sends++
 			last = o.Request
 		}
 	}
-	if late > maxSendsAfterQuarantine {
-		ck.report("crashing requests end", last, "%s reached upstreams %d times after three had crashed under it", target, late)
+	if sends > maxSendsAfterQuarantine {
+		ck.report("crashing requests end", last, "%s reached upstreams %d times after three had crashed under it", target, sends)
 	}
 }
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -46,21 +46,21 @@
 	case StoreSlow:
 		tb.applyFor(f, everyNode, func() { tb.delayStore(100 * time.Millisecond) }, func() { tb.delayStore(0) })
 	case StoreForgets:
-		tb.store.Forget()
+		tb.store.DropHistory()
 	case StoreLosesResponses:
-		tb.store.LoseAnswers(3)
+		tb.store.LoseResponses(3)
 	case NodePartitionedFromStore:
 		applyToLink(n.storeLink, faultproxy.Freeze, n.number)
 	case NodeOneWayFromStore:
-		applyToLink(n.storeLink, faultproxy.LoseAnswers, n.number)
+		applyToLink(n.storeLink, faultproxy.LoseResponses, n.number)
 	case NodeStoreConnectionsSilent:
-		tb.applyFor(f, n.number, n.storeLink.proxy.Silence, func() {})
+		tb.applyFor(f, n.number, n.storeLink.proxy.BlackholeConnections, func() {})
 	case NodePartitionedFromNodes:
 		applyToLink(n.peerLink, faultproxy.Freeze, n.number)
 	case NodeOneWayFromNodes:
-		applyToLink(n.peerLink, faultproxy.LoseAnswers, n.number)
+		applyToLink(n.peerLink, faultproxy.LoseResponses, n.number)
 	case NodeLinksSilent:
-		tb.applyFor(f, n.number, n.peerLink.proxy.Silence, func() {})
+		tb.applyFor(f, n.number, n.peerLink.proxy.BlackholeConnections, func() {})
 	case NodeLinksReset:
 		tb.applyFor(f, n.number, n.peerLink.proxy.Break, func() {})
 	case NodeKill:
@@ -112,7 +112,8 @@
 	tb.applyFor(f, everyNode, adjust(1), adjust(-1))
 }
 
-// claim reports whether the caller may stop or pause the node's process: one fault at a time may.
+// claim reports whether a fault may stop or pause the node's process, which only one fault at a time
+// may, and reserves the process for it until release.
 func (n *node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -218,31 +219,31 @@
 	applyToVM := func(start, stop func()) { tb.applyFor(f, anUpstream, start, stop) }
 	switch f.Kind {
 	case UpstreamCrashes:
-		tb.replaceUpstream(u, f, func() { tb.terminate(u); time.Sleep(entryExpiry); u.vm.Leave() })
+		tb.replaceUpstream(u, f, func() { tb.terminate(u); time.Sleep(entryExpiry); u.vm.DeleteEntry() })
 	case UpstreamDrains, PlainUpstreamDrains:
 		tb.replaceUpstream(u, f, func() {
 			u.vm.Drain()
 			tb.history.recordDeparture(u.id)
 			time.Sleep(f.For)
-			u.vm.Leave()
+			u.vm.DeleteEntry()
 			tb.terminate(u)
 		})
 	case UpstreamLeaves:
-		tb.replaceUpstream(u, f, func() { u.vm.Leave(); tb.history.recordDeparture(u.id); time.Sleep(f.For); tb.terminate(u) })
+		tb.replaceUpstream(u, f, func() { u.vm.DeleteEntry(); tb.history.recordDeparture(u.id); time.Sleep(f.For); tb.terminate(u) })
 	case UpstreamPartitioned, PlainUpstreamPartitioned:
 		applyToVM(func() { u.link.adjust(faultproxy.Freeze, 1) }, func() { u.link.adjust(faultproxy.Freeze, -1) })
 	case UpstreamConnectionsReset:
 		applyToVM(u.link.proxy.Break, func() {})
 	case UpstreamConnectionsSilent:
-		applyToVM(u.link.proxy.Silence, func() {})
+		applyToVM(u.link.proxy.BlackholeConnections, func() {})
 	case UpstreamStalls:
-		applyToVM(func() { u.vm.Stall.Store(3) }, func() { u.vm.Stall.Store(0) })
+		applyToVM(func() { u.vm.StallAfter.Store(3) }, func() { u.vm.StallAfter.Store(0) })
 	case UpstreamRefuses:
 		applyToVM(func() { u.vm.Refuse.Store(true) }, func() { u.vm.Refuse.Store(false) })
 	case AllUpstreamsRefuse:
 		tb.applyFor(f, anUpstream, func() { setRefuse(candidates, true) }, func() { setRefuse(candidates, false) })
 	case UpstreamTruncatesStreams:
-		applyToVM(func() { u.vm.CutAfter.Store(3) }, func() { u.vm.CutAfter.Store(0) })
+		applyToVM(func() { u.vm.TruncateAfter.Store(3) }, func() { u.vm.TruncateAfter.Store(0) })
 	case UpstreamReportsLimit:
 		tb.reportCondition(f, pickServing(candidates, f.Target), limitHeader(), false)
 	case UpstreamRequestsBackoff:
@@ -250,7 +251,7 @@
 	case UpstreamReportsLeaving:
 		tb.reportLeaving(f, pickServing(candidates, f.Target))
 	case UpstreamMisdirectsResponses:
-		applyToVM(func() { u.vm.ForeignID.Store(true) }, func() { u.vm.ForeignID.Store(false) })
+		applyToVM(func() { u.vm.WrongAttemptID.Store(true) }, func() { u.vm.WrongAttemptID.Store(false) })
 	default:
 		tb.recordError(fmt.Errorf("unknown kind of fault %q", f.Kind))
 	}
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -24,14 +24,20 @@
 	longStreamEvents    = 120
 	longStreamFrequency = 5
 	eventInterval       = 30 * time.Millisecond
-	groupSize           = 2
-	engineSlots         = 8
-	repeatRatio         = 0.2
-	repeatExtra         = 20
-	repeatWindow        = 10 * time.Second
-	revokeBound         = 5 * time.Second
-	stopGrace           = 8 * time.Second
-	stallBound          = time.Second
+	// groupSize is the number of VMs of a group, engineSlots the number of requests that a group
+	// runs at once.
+	groupSize   = 2
+	engineSlots = 8
+	// In any repeatWindow, all nodes together may repeat repeatRatio of a service's requests, and
+	// repeatExtra requests beyond that.
+	repeatRatio  = 0.2
+	repeatExtra  = 20
+	repeatWindow = 10 * time.Second
+	// revokeBound is the time after which no node accepts a revoked key.
+	revokeBound = 5 * time.Second
+	// stopGrace is how long a node may take for a graceful stop.
+	stopGrace  = 8 * time.Second
+	stallBound = time.Second
 	// callerTimeout is how long callers wait for an answer.
 	callerTimeout = 5 * time.Second
 	// idleTimeout and headerTimeout limit callers' connections. Callers pause for less than either.
@@ -113,7 +119,8 @@
 	leaving, terminated, reportsCondition bool
 }
 
-// faultLink is a proxy whose faults may overlap; the most severe active fault applies.
+// faultLink is a proxy of one network link. Faults of the link may overlap: it counts the active ones
+// by mode and applies the most severe mode.
 type faultLink struct {
 	proxy  *faultproxy.Proxy
 	mu     sync.Mutex
@@ -125,7 +132,7 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.active[m] += by
-	for _, mode := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseAnswers} {
+	for _, mode := range []faultproxy.Mode{faultproxy.Refuse, faultproxy.Freeze, faultproxy.LoseResponses} {
 		if fl.active[mode] > 0 {
 			fl.proxy.Set(mode)
 			return
@@ -197,8 +204,8 @@
 		return errors.Wrap(err, "start proxy of a VM")
 	}
 	u := &upstream{id: fmt.Sprintf("vm-%d", number), number: number, plain: plain, link: &faultLink{proxy: proxy, active: make(map[faultproxy.Mode]int)}}
-	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), Zone: tb.failureDomain(number), Domain: "fabric-" + tb.failureDomain(number),
-		Load: loadDuration(number), Events: events, Pause: eventInterval, Work: plainServiceTime, Observe: tb.observe, Member: tb.findVM, StallBound: stallBound}, tb.store)
+	u.vm = groupengine.New(groupengine.Config{ID: u.id, Service: service, Address: proxy.Address(), FailureDomain: tb.failureDomain(number), FabricDomain: "fabric-" + tb.failureDomain(number),
+		LoadTime: loadDuration(number), Events: events, EventInterval: eventInterval, ServiceTime: plainServiceTime, Observe: tb.observe, FindVM: tb.findVM, StallBound: stallBound}, tb.store)
 	server, err := tb.serve(tb.addr(roleVM, number, vmPort), u.vm)
 	if err != nil {
 		return err
@@ -237,17 +244,17 @@
 func (tb *testbed) observe(o groupengine.Observation) {
 	tb.history.recordObservation(o)
 	tb.crashOnRequest(o)
-	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.Old.Name == o.Group {
+	if o.Kind != groupengine.Joined || len(o.OldMembers) == 0 || o.OldGroup.Name == o.Group {
 		return
 	}
 	if o.OldMembers[0] == o.VM {
-		if o.Old.State == "open" {
+		if o.OldGroup.State == "open" {
 			tb.history.recordJoinFromOpenGroup(o)
 		}
 		return
 	}
 	head := tb.findVM(o.OldMembers[0])
-	if head != nil && head.In(o.Old.Name, o.Old.Epoch) && head.State() == "open" {
+	if head != nil && head.InGroup(o.OldGroup.Name, o.OldGroup.Epoch) && head.State() == "open" {
 		tb.history.recordJoinFromOpenGroup(o)
 	}
 }
@@ -275,7 +282,7 @@
 			return
 		case now := <-ticker.C:
 			for _, u := range tb.liveUpstreams() {
-				u.vm.Watch(now)
+				u.vm.CheckMembers(now)
 			}
 		}
 	}
@@ -284,14 +291,14 @@
 const (
 	// stallCheckInterval is how often the soak checks whether it is scheduled on time.
 	stallCheckInterval = 20 * time.Millisecond
-	// minSchedulingStall is the delay from which a check counts as a scheduling stall, which
-	// affects the other processes of the machine as well.
+	// minSchedulingStall is the minimum time between two checks that counts as a scheduling stall.
+	// Such a stall affects the other processes of the machine as well.
 	minSchedulingStall = 200 * time.Millisecond
 )
 
-// watchSchedulingStalls records the times in which this process was not scheduled. How long a node
-// took cannot be checked for them: its own log may show a few milliseconds. The summary of the
-// run counts them.
+// watchSchedulingStalls records the periods in which this process was not scheduled as disturbances
+// of all nodes. Time limits cannot be checked in them: a response that arrives late here may have
+// taken only a few milliseconds by the node's own log. The summary of the run counts the stalls.
 func (tb *testbed) watchSchedulingStalls() {
 	lastCheck := time.Now()
 	for {
