--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -38,7 +38,7 @@
 
 // Sentinel errors.
 var (
-	// ErrFull means that the key's bucket has reached its maximum size.
+	// ErrFull means that the write would make the key's bucket larger than maxBucketBytes.
 	ErrFull = errors.New("ledger bucket full")
 	// ErrBodyDiffers means that the key was used with a different request.
 	ErrBodyDiffers = errors.New("idempotency key used with another request")
@@ -152,8 +152,8 @@
 	return err == nil && rec.Attempt == attempt, rec, err
 }
 
-// Finish stores the attempt's outcome in the background, with retries. Until
-// it is stored, other attempts read Started, which never lets a request run twice.
+// Finish stores the attempt's outcome in the background, with retries. Until it is
+// stored, other attempts read Started and do not send the request again.
 func (l *Ledger) Finish(key string, outcome Record) {
 	c := l.committer(BucketOf(key))
 	newOperation := func() *operation {
@@ -200,6 +200,7 @@
 	}
 }
 
+// committer returns the committer of bucket n, which it creates at the first use.
 func (l *Ledger) committer(n int) *committer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,11 +19,12 @@
 	objects map[string]platform.Object
 	down    bool
 	// loseResponses is how many of the next writes return ErrUnknown though they took
-	// effect. Each of them but the last also takes the store down.
+	// effect. Each of these writes also sets down, except the last one, which clears it.
 	loseResponses int
 	writes        int
 }
 
+// newStore returns an empty store that is reachable.
 func newStore() *unreliableStore { return &unreliableStore{objects: make(map[string]platform.Object)} }
 
 func (s *unreliableStore) Get(_ context.Context, key string) (platform.Object, error) {
