--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -172,6 +172,7 @@
 	return rowResult(e.message, marbleroadv1.Outcome_OUTCOME_NOT_STORED, "other writers were faster each time; try again")
 }
 
+// logResult logs an accepted edit or a conflict; it logs no other outcome.
 func (k *Control) logResult(m *marbleroadv1.ApplyRequest, r *marbleroadv1.RowResult) {
 	kind := event.ChangeAccepted
 	switch r.GetOutcome() {
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -29,15 +29,15 @@
 )
 
 // peerLink holds the progress of the exchanges with one peer. The goroutine of the running
-// exchange owns the cursor and the witnesses; busy ensures that there is only one.
+// exchange owns cursor and witnessReader; busy ensures that there is only one.
 type peerLink struct {
 	busy        bool
 	lastRequest time.Time
 	// lastResponse is when the last request that the peer answered was sent; until there is
 	// one, the time of the link's creation.
-	lastResponse time.Time
-	cursor       item.Cursor
-	witnesses    wire.WitnessReader
+	lastResponse  time.Time
+	cursor        item.Cursor
+	witnessReader wire.WitnessReader
 }
 
 // exchanger queries each peer at its interval.
@@ -129,7 +129,7 @@
 		FailureDomain: k.config.FailureDomain,
 		Items:         wire.CursorMessage(link.cursor),
 		Digest:        k.items.Digest(),
-		WitnessEpoch:  link.witnesses.Epoch(),
+		WitnessEpoch:  link.witnessReader.Epoch(),
 	}))
 	k.parts.Metrics.Count("exchanges", 1)
 	if err != nil {
@@ -137,7 +137,7 @@
 		return
 	}
 	m := resp.Msg
-	results, err := link.witnesses.Read(m.GetWitnesses(), requestedAt)
+	results, err := link.witnessReader.Read(m.GetWitnesses(), requestedAt)
 	if err != nil {
 		return
 	}
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -4,7 +4,7 @@
 
 // leases holds how long others may send nothing before they count as lost. The times grow with
 // the exchange interval, which is longer when there are many peers: with a lease shorter than two
-// exchange intervals, every peer would repeatedly be lost and found again.
+// exchange intervals, every peer would repeatedly count as lost and then as alive again.
 type leases struct {
 	// peer is how long a peer counts as alive after the last request that it answered.
 	peer time.Duration
@@ -16,13 +16,14 @@
 	increaseDelay time.Duration
 }
 
+// Lower bounds of the leases, which apply when the exchange interval is short.
 const (
 	minPeerLease     = 3 * time.Second
 	minDemandLease   = 5 * time.Second
 	minIncreaseDelay = 2 * time.Second
 )
 
-// leasesFor returns the leases for the time between two exchanges with a peer.
+// leasesFor returns the leases for exchanges with each peer at the given interval.
 func leasesFor(interval time.Duration) leases {
 	peer := max(minPeerLease, 5*interval/2)
 	return leases{
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -22,7 +22,9 @@
 )
 
 const (
-	statusTimeout  = time.Second
+	// statusTimeout bounds the wait for the state actor's response to a status request.
+	statusTimeout = time.Second
+	// explainTimeout bounds the queries that Explain sends to all entries.
 	explainTimeout = time.Second
 )
 
--- a/internal/control/probe.go
+++ b/internal/control/probe.go
@@ -99,16 +99,16 @@
 	ctx, cancel := context.WithTimeout(ctx, k.config.ProbeTimeout)
 	defer cancel()
 	sentAt := clock.Now()
-	w, err := k.parts.Engine.Probe(ctx, m.Address)
+	result, err := k.parts.Engine.Probe(ctx, m.Address)
 	k.parts.Metrics.Count("probes", 1)
 	if err != nil {
 		k.parts.Metrics.Count("probes.failed", 1)
 		k.localProbes.finish(m.VM, k.recordRefusedProbe(m, err, sentAt), sentAt)
 		return
 	}
-	w.VM = m.VM
-	w.SentAt = sentAt
-	k.registry.Record(w)
+	result.VM = m.VM
+	result.SentAt = sentAt
+	k.registry.Record(result)
 	k.localProbes.finish(m.VM, true, sentAt)
 }
 
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -19,8 +19,9 @@
 	// startJitter spreads the first calls of many processes that start at once: 580 nodes make
 	// some 1,900 reads then.
 	startJitter = 1500 * time.Millisecond
-	// retryMin and retryMax bound the pause after a failed call. Pauses double and are
-	// jittered, so that a recovering platform is not overloaded by retries.
+	// retryMin and retryMax bound the pause after a failed call, before jitter of up to half
+	// of it either way. Pauses double and are jittered, so that a recovering platform is not
+	// overloaded by retries.
 	retryMin = 250 * time.Millisecond
 	retryMax = 5 * time.Second
 	// pollInterval is how often a process checks whether it has become the reader, and whether
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -66,7 +66,7 @@
 	// reader is true when this process reads the table and the membership list
 	// from the platform for its failure domain.
 	reader bool
-	// snapshot is the state in force as seen by this process.
+	// snapshot is what the tick built from the items and probe results.
 	snapshot *view.Snapshot
 	// liveEntries counts the entries of the failure domain whose share is reserved.
 	liveEntries int
