--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -42,12 +42,14 @@
 	// ReplayedHeader marks a response that was stored when the request first ran.
 	ReplayedHeader = "Idempotency-Replayed"
 
-	maxKeyBytes = 256
+	// maxIdempotencyKeyBytes bounds the value of KeyHeader.
+	maxIdempotencyKeyBytes = 256
 )
 
 // Error codes of requests that are refused as invalid.
 const (
-	codeBadKey         = "bad-key"
+	// codeInvalidKey means that the request carries no team's key.
+	codeInvalidKey     = "bad-key"
 	codeUnknownService = "unknown-service"
 	codeBadRequest     = "bad-request"
 	codeTooLarge       = "body-too-large"
@@ -133,13 +135,13 @@
 func authenticate(s *view.Snapshot, h http.Header) (view.Team, *verdict.Error) {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return view.Team{}, invalidInput(http.StatusUnauthorized, codeBadKey, "the Authorization header carries no bearer key")
+		return view.Team{}, invalidInput(http.StatusUnauthorized, codeInvalidKey, "the Authorization header carries no bearer key")
 	}
 	sum := sha256.Sum256([]byte(key))
 	hash := hex.EncodeToString(sum[:])
 	team, ok := s.Teams[hash]
 	if !ok || subtle.ConstantTimeCompare([]byte(team.KeySHA256), []byte(hash)) != 1 {
-		return view.Team{}, invalidInput(http.StatusUnauthorized, codeBadKey, "no team has this key")
+		return view.Team{}, invalidInput(http.StatusUnauthorized, codeInvalidKey, "no team has this key")
 	}
 	return team, nil
 }
@@ -181,7 +183,7 @@
 		return c, failure
 	}
 	c.idempotencyKey = r.Header.Get(KeyHeader)
-	if len(c.idempotencyKey) > maxKeyBytes {
+	if len(c.idempotencyKey) > maxIdempotencyKeyBytes {
 		return c, invalidInput(http.StatusBadRequest, codeBadRequest, "Idempotency-Key is longer than 256 bytes")
 	}
 	if text := r.Header.Get(LastEventHeader); text != "" {
--- a/internal/entry/desk.go
+++ b/internal/entry/desk.go
@@ -97,16 +97,16 @@
 	d.tracker.RecordDuration(id, elapsed)
 }
 
-// recordEnd records the end of an attempt and reports whether it ejected the
-// upstream.
+// recordEnd records that an attempt at an upstream has finished, and reports whether
+// its outcome ejected the upstream.
 func (d *dispatcher) recordEnd(now time.Time, id string, failed bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	peers := make([]string, len(d.upstreams))
+	upstreamIDs := make([]string, len(d.upstreams))
 	for i, u := range d.upstreams {
-		peers[i] = u.ID
+		upstreamIDs[i] = u.ID
 	}
-	return d.tracker.RecordEnd(now, id, failed, peers)
+	return d.tracker.RecordEnd(now, id, failed, upstreamIDs)
 }
 
 // recordBackoff records that an upstream asked for no requests for a time.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -217,7 +217,7 @@
 }
 
 // spillOrFail sends a call to another failure domain if this entry refused it
-// for lack of capacity. It doesn't for refusals by the caller's own limits.
+// for lack of capacity. A call that the team's limits refused is not sent on.
 func (s *Server) spillOrFail(ctx context.Context, w http.ResponseWriter, c *call, failure *verdict.Error) *verdict.Error {
 	switch failure.Code {
 	case string(admission.QueueFull), string(admission.NoUpstream):
@@ -343,7 +343,8 @@
 }
 
 var (
-	eventEnd   = []byte("\n\n")
+	eventEnd = []byte("\n\n")
+	// doneEvent is the final event of a stream that is complete.
 	doneEvent  = []byte("data: [DONE]\n\n")
 	errorStart = []byte("event: error\n")
 )
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -192,8 +192,8 @@
 	s.log.Emit(event.RequestUnanswered).Stringer("caller", caller).Bool("stopping", s.stopping.Load()).Send()
 }
 
-// Ready reports whether the balancer may send requests to this entry, and if
-// not, why.
+// Ready reports whether the balancer may send requests to this entry, and the
+// reason if it may not.
 func (s *Server) Ready() (bool, string) {
 	switch {
 	case s.stopping.Load():
@@ -403,7 +403,7 @@
 	line.Send()
 }
 
-// handleModel handles the OpenAI paths.
+// handleModel handles the OpenAI paths for completions. The model in the body names the service.
 func (s *Server) handleModel(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, snapshot *view.Snapshot) *verdict.Error {
 	name, failure := c.readModelRequest()
 	if failure != nil {
--- a/internal/entry/source.go
+++ b/internal/entry/source.go
@@ -56,8 +56,9 @@
 	AllEntries int
 }
 
-// Source keeps the entry's snapshot up to date from a control process. One
-// goroutine reads and builds; traffic goroutines only load atomic pointers.
+// Source keeps the entry's snapshot up to date from a control process. One goroutine
+// reads the view and builds the snapshot; the goroutines that serve requests only load
+// atomic pointers.
 type Source struct {
 	config       SourceConfig
 	log          *event.Logger
@@ -85,7 +86,7 @@
 	witnessReaders map[string]*wire.WitnessReader
 }
 
-// viewListener is the service that receives what the source reads. Both methods
+// viewListener receives each new snapshot and supplies the demand to report. Both methods
 // are called on the reading goroutine.
 type viewListener interface {
 	// demand returns the demand to report; it is called before each read.
