--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -185,8 +185,8 @@
 	return b.runUntilSignal(k, stops)
 }
 
-// maxPendingSignals is the number of stop signals that wait until they are handled: none is before the
-// services have started. Further ones are dropped; in a series of signals they carry no new information.
+// maxPendingSignals bounds the stop signals that are queued until the services have started, since none
+// is handled earlier. Further ones are dropped; in a series of signals they carry no new information.
 const maxPendingSignals = 4
 
 // catchSignals queues stop and reload signals. It must be called before anything else, as a reload
@@ -392,23 +392,23 @@
 	}
 }
 
-// The control daemon may use 128 MB of a node. The garbage collector therefore runs
-// half as often as by default, which takes more memory, and more often when the
-// memory of the Go runtime comes near softMemoryLimit.
+// The control daemon may use 128 MB of a node. The garbage collector runs half as often
+// as by default (GOGC is 100), which takes more memory, and more often when the memory
+// of the Go runtime approaches softMemoryLimit.
 const (
-	collectorPercent = 200
-	softMemoryLimit  = 88 << 20 // bytes
+	gcPercent       = 200
+	softMemoryLimit = 88 << 20 // bytes
 )
 
 // tuneMemory configures the garbage collector for the control daemon.
 func tuneMemory() {
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(softMemoryLimit)
 }
 
-// stopLimit returns the bound of the entire stop. It is the same sum for all daemons:
-// where a daemon has no [entry] section, the defaults of its keys count. The services
-// have their own, shorter limits.
+// stopLimit returns the time limit for the entire stop. All daemons use the same sum;
+// a daemon without an [entry] section uses the defaults of that section's keys. The
+// services have their own, shorter limits.
 func (b base) stopLimit() time.Duration {
 	return b.settings.Entry.BalancerDelay + b.settings.Entry.ShutdownLimit + controlStopLimit
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -38,8 +38,8 @@
 	// keyVerificationMargin is subtracted from the revocation bound, for the time
 	// between the check of a key and the start of the request at the upstream.
 	keyVerificationMargin = 300 * time.Millisecond
-	// stopMargin is subtracted from the stop's grace period, for the exit of the
-	// process.
+	// stopMargin is the part of the stop's grace period that is reserved for the
+	// process to exit.
 	stopMargin = 700 * time.Millisecond
 	// storeIdleConns and reportIdleConns bound the idle connections to one host,
 	// for calls to the platform's store and for calls to upstreams.
--- a/internal/daemon/transport_test.go
+++ b/internal/daemon/transport_test.go
@@ -12,8 +12,8 @@
 	"github.com/marbleroad/marbleroad/internal/transport"
 )
 
-// TestIdleConnectionsAreBounded: a director that had requested the reports of 1,000 VMs kept a connection
-// open to each until the VM closed it. Among 300 nodes the one with the most connections had 1,093 and
+// TestIdleConnectionsAreBounded guards against too many idle connections. A director that had requested
+// the reports of 1,000 VMs kept a connection open to each until the VM closed it. Among 300 nodes the one with the most connections had 1,093 and
 // the median one 20, while a node may open 4,100 files.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	const hosts = maxIdleConns + 40
