--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -52,14 +52,16 @@
 	Service string
 }
 
-// Snapshot is the state in force at one moment. It is not changed once built.
+// Snapshot holds the table's rows, the members, the plans and the eligible upstreams as of one
+// moment. It is not changed once built.
 type Snapshot struct {
 	// Teams is keyed by the hex SHA-256 of the team's key.
 	Teams    map[string]Team
 	Services map[string]Service
 	Limits   map[LimitKey]table.Limit
-	// Rates maps a subject, a team or what LimitSubject returns, to the rate limit that applies
-	// to all entries together. Subjects without a limit are left out.
+	// Rates holds the rate limits that apply to all entries together, by subject: the name of a
+	// team, or the result of LimitSubject for a team at one service. Subjects without a limit
+	// are left out.
 	Rates map[string]float64
 	// Members lists the upstream VMs of this failure domain by name.
 	Members map[string]platform.Member
@@ -161,6 +163,8 @@
 	return errs
 }
 
+// readRows adds the live rows of the table to the snapshot. For a row that cannot be decoded it
+// uses the last valid version, and returns an error once per version.
 func (b *Builder) readRows(s *Snapshot) []DecodeError {
 	var errs []DecodeError
 	for _, it := range b.items.List(item.TablePrefix) {
@@ -369,6 +373,7 @@
 	}
 }
 
+// isPlainUpstreamEligible reports whether the VM of a plain service may get new requests.
 func isPlainUpstreamEligible(s *Snapshot, probe presence.ProbeResult, now time.Time, window time.Duration) bool {
 	return probe.Fresh(now, window) && probe.Ready && !probe.Leaving && !s.Leaving[probe.VM]
 }
