--- a/internal/callers/conn_test.go
+++ b/internal/callers/conn_test.go
@@ -91,15 +91,15 @@
 	get(t, c)
 }
 
-// lateConn is a connection from which a request is read at the moment its limit expires.
+// lateConn is a connection whose Read returns a request just as a limit closes the connection.
 type lateConn struct {
 	net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-// Read implements net.Conn. It returns a request once the limit closes the connection, or later
-// if it does not.
+// Read implements net.Conn. It returns a request once the connection is closed, or after a
+// timeout if no limit closes it.
 func (c *lateConn) Read(p []byte) (int, error) {
 	select {
 	case <-c.closed:
--- a/internal/callers/head.go
+++ b/internal/callers/head.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// LengthHeader tells whether a request's header, as received on its connection, has a
+// LengthHeader states whether a request's header, as received on its connection, has a
 // Content-Length field. net/http removes that field from a request with chunked encoding,
 // so a request with both can't be detected in its http.Header.
 type LengthHeader uint8
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// awaitAcceptEnd waits until the pending connections are accepted. Without that a drain which
-// finds no open connection finishes earlier, and the requests on pending ones are read and dropped.
+// awaitAcceptEnd waits until the pending connections are accepted. Otherwise a drain that finds no
+// open connection would finish first, and the requests on the pending ones would be read and dropped.
 func (l *Listener) awaitAcceptEnd(ctx context.Context) error {
 	if !l.acceptStarted() {
 		return nil
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -81,8 +81,8 @@
 	return errors.Wrap(s.http.Shutdown(ctx), "shut down")
 }
 
-// stopLinger is how long Stop keeps connections without a request. The callers of servers that
-// Stop ends are other daemons and operators, which reconnect.
+// stopLinger is how long Stop keeps connections without a request open. Stop is used for servers
+// whose callers are other daemons and operators, which reconnect.
 const stopLinger = 50 * time.Millisecond
 
 // Stop drains the server, and closes it when the context ends first. A nil server counts as stopped.
