--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -265,7 +265,8 @@
 	return rejection == nil || verdict.As(rejection).Code == CodeRefused
 }
 
-// checkResponse returns an error unless the response shows that the upstream ran the request.
+// checkResponse returns an error for a response that belongs to another request, or that shows
+// that the upstream did not run the request.
 func (o Outgoing) checkResponse(resp *http.Response) error {
 	if o.Dialect != nil {
 		return o.Dialect.CheckResponse(resp, o.RequestID)
--- a/internal/relay/sender_test.go
+++ b/internal/relay/sender_test.go
@@ -290,7 +290,8 @@
 	buf     []byte
 }
 
-// Read returns the unread bytes of a batch, or as many as p takes, as a read from a socket may.
+// Read returns the unread bytes of the current batch, or as many as fit in p, as a read from a
+// socket may. It generates the next batch when there are none.
 func (r *eventReader) Read(p []byte) (int, error) {
 	if len(r.buf) == 0 {
 		if r.batches == 0 {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -29,8 +29,9 @@
 var (
 	idField   = []byte("id:")
 	dataField = []byte("data:")
-	doneData  = []byte("[DONE]")
-	newline   = []byte("\n")
+	// doneData is the data of the terminal event.
+	doneData = []byte("[DONE]")
+	newline  = []byte("\n")
 )
 
 // Stream relays one run's server-sent events to a caller. It must be used from one
