--- a/test/integration/chaos_test.go
+++ b/test/integration/chaos_test.go
@@ -11,7 +11,7 @@
 	"github.com/marbleroad/marbleroad/test/standin/faultproxy"
 )
 
-// Defaults of MARBLEROAD_STEPS and MARBLEROAD_SEED, which make proof sets.
+// Defaults of the environment variables MARBLEROAD_STEPS and MARBLEROAD_SEED, which scripts/proof.sh sets.
 const (
 	defaultSteps = 6
 	defaultSeed  = 11
@@ -25,7 +25,8 @@
 	return fallback
 }
 
-// faultInjector injects random faults one after the other and undoes each. At most two are active between steps.
+// faultInjector injects random faults one after the other and undoes each. At most two are active during a step, and
+// at most one between steps.
 type faultInjector struct {
 	s      *deployment
 	random *rand.Rand
--- a/test/integration/groups_test.go
+++ b/test/integration/groups_test.go
@@ -166,6 +166,8 @@
 	s.history.check()
 }
 
+// TestLaggingMembershipList replaces a killed VM and takes it back while the membership list shows each change only
+// 1.5 s later.
 func TestLaggingMembershipList(t *testing.T) {
 	t.Parallel()
 	s := newGroupDeployment(t, 5)
@@ -364,8 +366,8 @@
 	s.history.check()
 }
 
-// TestLeavingUpstreamWhileEntryIsCutOff checks that a partitioned entry learns from its own node's control process
-// that a VM reports to be leaving.
+// TestLeavingUpstreamWhileEntryIsCutOff checks that an entry whose node is partitioned from its peers sends no new
+// requests to a VM that reports that it is leaving. It gets this report from its own node's control process.
 func TestLeavingUpstreamWhileEntryIsCutOff(t *testing.T) {
 	t.Parallel()
 	s := newDeployment(t, smallTopology())
--- a/test/integration/history_test.go
+++ b/test/integration/history_test.go
@@ -161,7 +161,8 @@
 	h.checkStore(t)
 }
 
-// runsByRequest counts the executions of each request, at model engines and plain services.
+// runsByRequest counts the executions of each request, by request ID. Plain services are queried once for each
+// response, so an ID that several responses share is counted too often.
 func (h *history) runsByRequest() map[string]int {
 	runs := make(map[string]int)
 	for _, x := range h.executions {
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -335,9 +335,9 @@
 	}
 }
 
-// TestPausedNodeFailsNoHead pauses a node during streams. It guards against a node that was paused for 0.6 s
-// treating every head that it streamed from as stalled for that time. It terminated all its streams there and had
-// the other nodes terminate theirs sooner:
+// TestPausedNodeFailsNoHead pauses a node during streams. It guards against a resumed node that takes its own pause
+// for a stall of the heads that it streams from. After a pause of 0.6 s such a node terminated all its streams from
+// these heads, and made the other nodes terminate theirs sooner:
 //
 //	4024 all streams of a head fell silent; they go on elsewhere silent_ms=605 usual_pause_ms=30
 //	5008 an upstream failed a request detail="all streams of the head fell silent"
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -46,6 +46,9 @@
 	return result
 }
 
+// TestRetryElsewhereWhileTheFirstRuns sends a retry with the same idempotency key to another entry. While the first
+// attempt runs, the retry gets 409 with the verdict that the request may have run, and afterwards the first
+// attempt's response. A different body under the same key gets 422.
 func TestRetryElsewhereWhileTheFirstRuns(t *testing.T) {
 	t.Parallel()
 	s := newGroupDeployment(t, 4)
--- a/test/integration/operator_test.go
+++ b/test/integration/operator_test.go
@@ -15,7 +15,7 @@
 	return s.ctlIn(nd, "", args...)
 }
 
-// ctlIn is ctl with standard input.
+// ctlIn runs marbleroadctl like ctl, with the given text as standard input.
 func (s *deployment) ctlIn(nd *node, stdin string, args ...string) (string, int) {
 	var out bytes.Buffer
 	all := append([]string{"--control", fmt.Sprintf("%s:%d", nd.ip, controlPort), "--token-file", s.tokenFile, "--timeout", "5s"}, s.ctlTLSFlags...)
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -83,11 +83,11 @@
 	s.history.check()
 }
 
-// TestRequestReadInAStopOfAnEntryIsAnswered guards against a request without a response when its connection reads
-// it during a stop: net/http's Shutdown drops such a request. On a node it was logged as:
+// TestRequestReadDuringEntryStopIsAnswered guards against a request that gets no response because the entry finishes
+// reading it only after its stop has started: net/http's Shutdown drops such a request. On a node it was logged as:
 //
 //	5017 a connection ended with a request that was read and not handled stopping=true
-func TestRequestReadInAStopOfAnEntryIsAnswered(t *testing.T) {
+func TestRequestReadDuringEntryStopIsAnswered(t *testing.T) {
 	t.Parallel()
 	s := newGroupDeployment(t, 4)
 	address := net.JoinHostPort(s.nodes[0].ip, strconv.Itoa(callerPort))
--- a/test/integration/site_test.go
+++ b/test/integration/site_test.go
@@ -105,7 +105,7 @@
 type deployment struct {
 	// callerTLS is nil while callers are served plain HTTP.
 	callerTLS *tls.Config
-	// ctlTLS are the flags of marbleroadctl for mutual TLS.
+	// ctlTLSFlags are the flags of marbleroadctl for mutual TLS.
 	ctlTLSFlags []string
 	// tokenFile is the path of the file that holds the operators' token.
 	tokenFile     string
@@ -269,7 +269,7 @@
 	}
 }
 
-// writeSettings writes a node's settings file with the overrides applied.
+// writeSettings writes the settings file that a node starts with, with the deployment's overrides applied.
 func (s *deployment) writeSettings(nd *node) {
 	var controls, seeds []string
 	for _, other := range s.nodes {
--- a/test/integration/table_test.go
+++ b/test/integration/table_test.go
@@ -310,7 +310,7 @@
 	s.eventually("the key is refused everywhere", refusedEverywhere)
 	for range 20 {
 		if !refusedEverywhere() {
-			t.Error("the deleted team came back")
+			t.Error("a node did not refuse the deleted team's key")
 		}
 	}
 	s.history.check()
@@ -330,7 +330,7 @@
 				}
 			}
 		}
-		// Far below the platform's published rates, because these are 4 nodes of 580.
+		// The limit is far below the platform's published rates, because this deployment has 4 nodes instead of 580.
 		s.platform.LimitRate(100)
 		before := s.platform.Counts().Refused
 		fault(false)
@@ -418,6 +418,9 @@
 	s.history.check()
 }
 
+// TestLostRaceShowsBothValues makes two changes on the same base version: the second fails with exit code 3 and
+// prints both values. It then checks that a change that is sent again with the same ID is accepted and leaves the
+// row's version as it is.
 func TestLostRaceShowsBothValues(t *testing.T) {
 	t.Parallel()
 	s := newGroupDeployment(t, 4)
