--- a/test/standin/engine/engine.go
+++ b/test/standin/engine/engine.go
@@ -127,7 +127,7 @@
 	e.onOrder = f
 }
 
-// PrefixHits returns the number of prompts whose prefix was cached.
+// PrefixHits returns the number of requests whose prefix, the first prefixBytes of the body, was cached.
 func (e *Engine) PrefixHits() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -340,12 +340,16 @@
 }
 
 // Token returns the text of the nth token of a response. It contains the request's ID, so that a checker detects
-// mixed up responses.
+// a response that belongs to another request.
 func Token(requestID string, n int) string {
 	return fmt.Sprintf("%s.%d ", requestID, n)
 }
 
-// produce generates the response once a slot is free.
+// prefixBytes is the part of a request's body that the prefix cache compares, in bytes.
+const prefixBytes = 256
+
+// produce generates the run's response once a slot is free, also if the caller disconnects. The run can be resumed
+// for Config.Linger after it has finished.
 func (e *Engine) produce(active *run, id string, body []byte) {
 	e.mu.Lock()
 	e.queued++
@@ -354,7 +358,7 @@
 	e.mu.Lock()
 	e.queued--
 	c := e.config
-	prefix := xxhash.Sum64(body[:min(len(body), 256)])
+	prefix := xxhash.Sum64(body[:min(len(body), prefixBytes)])
 	cached := e.prefixes[prefix]
 	if cached {
 		e.hits++
@@ -389,7 +393,7 @@
 	})
 }
 
-// emit appends an event to the run and reports whether the run is still alive.
+// emit appends an event to the run. It returns false, and appends nothing, if the run was stopped.
 func (e *Engine) emit(active *run, data string, last bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -467,6 +471,8 @@
 	_, _ = fmt.Fprintf(w, `{"id":%q,"object":"chat.completion","choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}]}`, id, text.String())
 }
 
+// resume streams the events of a run after the one with the given number. It responds 404 if the run was stopped,
+// or finished more than Config.Linger ago.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(r.URL.Path, relay.ResumePath)
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
@@ -481,6 +487,7 @@
 	e.stream(w, r, active, after, 0)
 }
 
+// cancel stops a run and removes it. Responses that still read from the run break.
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
