--- a/test/standin/faultproxy/faultproxy.go
+++ b/test/standin/faultproxy/faultproxy.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Mode says what happens to connections and their bytes.
+// Mode determines what happens to connections and their bytes.
 type Mode int
 
 const (
@@ -21,12 +21,12 @@
 	Freeze
 	// LoseResponses forwards the bytes of requests and drops those of responses.
 	LoseResponses
-	// LoseRequests drops the bytes of requests.
+	// LoseRequests drops the bytes of requests and forwards those of responses.
 	LoseRequests
 )
 
-// Proxy forwards connections to a listening address to a target. Faults apply to all clients or to those from one IP
-// address.
+// Proxy accepts connections at a listening address and forwards them to a target. Faults apply to all clients or to
+// those from one IP address.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -145,7 +145,7 @@
 type linkState struct {
 	mode  Mode
 	delay time.Duration
-	// freed is closed when the mode changes.
+	// changed is closed when a mode changes.
 	changed    chan struct{}
 	blackholed bool
 }
@@ -195,7 +195,8 @@
 	<-done
 }
 
-// copy copies bytes in one direction until either connection closes. It drops them while the mode is dropMode.
+// copy copies bytes in one direction until either connection closes, with the link's current faults applied. It drops
+// the bytes while the mode is dropMode or the link is blackholed.
 func (p *Proxy) copy(dst io.Writer, src io.Reader, l *link, dropMode Mode) {
 	const bufferBytes = 32 << 10
 	buf := make([]byte, bufferBytes)
