--- a/test/standin/groupengine/groupengine.go
+++ b/test/standin/groupengine/groupengine.go
@@ -25,6 +25,7 @@
 	State string `json:"state"`
 }
 
+// model is a loaded model, as it is sent.
 type model struct {
 	Name string `json:"name"`
 }
@@ -57,8 +58,8 @@
 	EventInterval time.Duration
 	// ServiceTime is how long a request to a plain service takes.
 	ServiceTime time.Duration
-	// Observe is called for each observation, before the response is sent; nil for none. It is called for
-	// BecameReady with the VM locked.
+	// Observe is called for each observation; nil for none. Observations of an order precede its response. For
+	// BecameReady it is called with the VM locked.
 	Observe func(Observation)
 	// FindVM returns another VM by its ID, nil for one that was removed. If it is set, a head stalls its streams
 	// while a member is lost and breaks after StallBound.
@@ -75,8 +76,11 @@
 	RequestReceived Kind = iota
 	RequestExecuted
 	RequestFinished
+	// Joined means that the VM accepted a join order and started to load the model.
 	Joined
+	// BecameReady means that a joined VM finished loading the model.
 	BecameReady
+	// Opened means that the VM accepted an open order.
 	Opened
 )
 
@@ -131,10 +135,11 @@
 	draining       bool
 	// entryDeleted is true once the VM's entry was deleted for good.
 	entryDeleted bool
-	// memberLostAt is since when the head of an open group misses a member; zero if the group is complete.
+	// memberLostAt is when the head of an open group detected that a member is lost; zero if the group is complete.
 	memberLostAt time.Time
-	headers      []http.Header
-	targets      []string
+	// headers and targets are those of the requests that were received.
+	headers []http.Header
+	targets []string
 }
 
 // New returns a VM and writes its entry.
@@ -173,8 +178,8 @@
 	return v.group != nil && v.group.Name == group && v.group.Epoch == epoch && v.group.State != "joining"
 }
 
-// CheckMembers checks, if the VM is the head of an open group, whether the group's members are still in it, and breaks the
-// group once a member has been lost for StallBound. The test must call it several times a second.
+// CheckMembers checks, if the VM is the head of an open group, whether the group's members are still in it, and
+// breaks the group once a member has been lost for StallBound. The test must call it several times a second.
 func (v *VM) CheckMembers(now time.Time) {
 	v.mu.Lock()
 	g, members := v.group, v.members
@@ -238,7 +243,7 @@
 	v.store.Delete("servers", v.config.ID)
 }
 
-// State returns the VM's state in its group, or an empty string if it has none.
+// State returns the VM's state in its group: joining, ready, open or broken. It is empty if the VM is in no group.
 func (v *VM) State() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -248,7 +253,7 @@
 	return v.group.State
 }
 
-// Rank returns the VM's rank in its group, or -1 if it has none.
+// Rank returns the VM's rank in its group, or -1 if it is in no group.
 func (v *VM) Rank() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -363,7 +368,8 @@
 	return status, observation
 }
 
-// applyOrder applies an order to the VM's group and returns the response's status. The caller must hold v.mu.
+// applyOrder applies an order to the VM's group and returns the response's status. That is 409 for an unknown order,
+// and for an open, close or leave order that doesn't fit the VM's current group. The caller must hold v.mu.
 func (v *VM) applyOrder(o order) int {
 	matches := v.group != nil && v.group.Name == o.Group && v.group.Epoch == o.Epoch
 	switch o.Op {
