--- a/test/standin/objectstore/objectstore.go
+++ b/test/standin/objectstore/objectstore.go
@@ -28,7 +28,7 @@
 	Rev  uint64 `json:"rev"`
 }
 
-// event is one change of an object.
+// event is one change of an object. The exported fields are sent.
 type event struct {
 	Object  Object `json:"object"`
 	Deleted bool   `json:"deleted"`
@@ -82,7 +82,7 @@
 	s.record(event{kind: kind, rev: s.rev, Deleted: true, Object: Object{Metadata: Metadata{Name: name, Rev: s.rev}}})
 }
 
-// DropHistory drops the history, so that watches from an older revision get 410 Gone.
+// DropHistory drops the history, so that watches from an older revision get 410 Gone, also those that are waiting.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	s.notifyWatchers()
 }
 
-// SetDown sets whether every request is rejected with 503.
+// SetDown sets whether every new request is rejected with 503. Watches that are already waiting continue.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,6 +219,8 @@
 	respond(w, http.StatusOK, written)
 }
 
+// watch responds with the kind's events after the revision in the query, as soon as there are any. It responds with
+// an empty list after the query's wait-ms, and with 410 Gone if the history after the revision was dropped.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait-ms"))
