--- a/test/standin/plain/plain.go
+++ b/test/standin/plain/plain.go
@@ -17,10 +17,11 @@
 // Service is the stand-in for one VM.
 type Service struct {
 	VM string
-	// Slots is the number of concurrent requests that the VM reports to run at most.
+	// Slots is the number of slots that the VM reports. The stand-in doesn't enforce it.
 	Slots int
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// executions counts the executions by request ID, byKey by idempotency key.
 	executions map[string]int
 	byKey      map[string]int
 	total      int
@@ -31,7 +32,7 @@
 	inFlight  int
 }
 
-// New returns the stand-in for a VM with the given number of slots.
+// New returns the stand-in for a VM that reports the given number of slots.
 func New(vm string, slots int) *Service {
 	return &Service{VM: vm, Slots: slots, executions: make(map[string]int), byKey: make(map[string]int)}
 }
@@ -78,7 +79,8 @@
 	return s.total
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. Any path but that of the status counts as an execution, and the response repeats
+// the request.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == httpapi.StatusPath {
 		s.mu.Lock()
