--- a/test/standin/platform/platform.go
+++ b/test/standin/platform/platform.go
@@ -20,13 +20,17 @@
 	"github.com/marbleroad/marbleroad/internal/platform/httpapi"
 )
 
+// maxValueBytes is the size of the largest value that a write may have; larger ones get 400.
 const maxValueBytes = 1 << 20
 
 // Counts are the numbers of calls so far.
 type Counts struct {
+	// Reads counts reads of objects, lists and membership lists.
 	Reads   int
 	Writes  int
 	Watches int
+	// Refused counts the calls that were rejected because the platform was down or the rate limit was exceeded. They
+	// aren't counted as reads, writes or watches.
 	Refused int
 	// BytesIn and BytesOut are the total sizes of the bodies of valid writes and of responses.
 	BytesIn  int64
@@ -47,7 +51,7 @@
 	// history holds every accepted write, for checkers.
 	history []httpapi.Object
 
-	// down makes all calls fail.
+	// down makes all calls fail with 503.
 	down bool
 	// hang makes all calls wait.
 	hang bool
@@ -69,7 +73,7 @@
 	}
 }
 
-// SetDown sets whether all calls fail.
+// SetDown sets whether all calls fail with 503, also the watches that are already waiting.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +81,7 @@
 	p.notifyWatchers()
 }
 
-// SetHang sets whether all calls wait without a response.
+// SetHang sets whether all new calls wait without a response. Watches that are already waiting get 503.
 func (p *Platform) SetHang(hang bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +103,7 @@
 	p.lag = d
 }
 
-// LimitRate rejects calls above the rate with 429.
+// LimitRate rejects calls above the rate with 429. It allows bursts of one second's calls.
 func (p *Platform) LimitRate(perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,6 +266,8 @@
 	p.respond(w, object)
 }
 
+// put writes a value if the version that the request names as its base is the object's current version; otherwise it
+// responds 412.
 func (p *Platform) put(w http.ResponseWriter, r *http.Request, key string) {
 	base, err := strconv.ParseUint(r.Header.Get(httpapi.BaseVersionHeader), 10, 64)
 	value, readErr := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
@@ -308,6 +314,8 @@
 	return out
 }
 
+// watch responds with the changes under a prefix after a revision, as soon as there are any, and with an empty list
+// after the query's wait_ms.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
 	p.count(func(c *Counts) { c.Watches++ })
 	query := r.URL.Query()
