--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -101,6 +101,7 @@
 		all = append(all, r)
 	}
 	printTable(all)
+	// Each fit has four terms, so it needs more than four results.
 	if len(all) > 4 {
 		printFits(all)
 	}
--- a/test/capacity/measure.go
+++ b/test/capacity/measure.go
@@ -59,7 +59,8 @@
 	PeerBytes, PlatformBytes, ProbeBytes, NodeBytesMax float64
 	// Reads, Writes and Watches are calls to the platform per second by the whole failure domain.
 	Reads, Writes, Watches float64
-	// InForceMedian and InForceMax are the time from the acceptance of a change until all nodes had it, in seconds.
+	// InForceMedian and InForceMax are the time from the acceptance of a change until it is in force at all nodes, in
+	// seconds.
 	InForceMedian, InForceMax float64
 	Groups                    int
 }
@@ -234,7 +235,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// startNode starts a node's two daemons and creates the clients for its control process.
+// startNode starts a node's two daemons and creates a view client for its control process. For the first node it also
+// creates the client for operator calls.
 func (r *testDomain) startNode(bin string, i int) error {
 	ip := nodeIP(i)
 	var seeds []string
@@ -344,10 +346,10 @@
 	return fmt.Errorf("the failure domain did not become ready within %s", startTimeout)
 }
 
-// measureCosts changes rows for the given time and returns the costs over it.
+// measureCosts changes rows at the scenario's rate for the given time and returns the costs during that time.
 func (r *testDomain) measureCosts(length time.Duration) (result, error) {
 	for _, view := range r.views {
-		// Reads the complete table before the counters, so that its transfer isn't measured.
+		// This transfers the complete table to this tool's view clients now, so that the transfer isn't measured.
 		hasVersion(context.Background(), view, "", 0)
 	}
 	before := r.takeSnapshot()
--- a/test/capacity/recovery.go
+++ b/test/capacity/recovery.go
@@ -29,7 +29,7 @@
 	return r.restartAll(bin)
 }
 
-// callDifference describes the calls between two counts.
+// callDifference returns the calls between two counts as text.
 func callDifference(a, b platform.Counts) string {
 	return fmt.Sprintf("%d reads, %d writes, %d watches, %d refused",
 		b.Reads-a.Reads, b.Writes-a.Writes, b.Watches-a.Watches, b.Refused-a.Refused)
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// restartAll kills all daemons, starts them again and prints when everything serves.
+// restartAll kills all daemons, starts them again, and prints how long it takes until everything serves and the calls
+// to the platform until then.
 func (r *testDomain) restartAll(bin string) error {
 	for _, p := range append(append([]*daemonProcess(nil), r.controls...), r.entries...) {
 		_ = p.cmd.Process.Signal(syscall.SIGKILL)
--- a/test/capacity/report.go
+++ b/test/capacity/report.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// term is one variable of a fit.
+// term is one variable of a fit: its name in the output and its value in a scenario.
 type term struct {
 	name  string
 	value func(scenario) float64
