--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -42,7 +42,7 @@
 mutant "a VM not seen within the window counts as present" internal/groups/eligible.go \
   's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/' ./internal/groups TestEligibleAgainstOracle
 mutant "a VM not seen within the window counts as present, with real processes and no expiry at the entry" internal/groups/eligible.go \
-  's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.Until\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
+  's/case !ok \|\| !probe\.Fresh\(now, window\):/case !ok:/; s/until\.Before\(out\.ValidUntil\)/false/' ./test/integration TestFrozenVMReturnsAfterItsGroupMovedOn
 mutant "the group that a VM reports is not checked" internal/groups/eligible.go \
   's/case probe\.Group != g\.ID[^:]*:/case false:/' ./internal/groups TestEligibleAgainstOracle
 mutant "a VM still in a group is taken as a spare" internal/groups/decide.go \
@@ -214,7 +214,7 @@
 mutant "a lost response is waited for" internal/gateway/stalls.go \
   's/now\.Sub\(s\.lastActivity\) > tt\.lostAfter\(s\)/false/' ./internal/gateway TestLostResponseAtActiveHead
 mutant "an unresponsive leader is still followed" internal/feed/feed.go \
-  's/l\.failedUntil\[leader\.ID\] = now\.Add\(failureBackoff\)//; s/q\.wait\+responseMargin/time.Hour/; s/q\.wait\+maxTransfer/time.Hour/' ./internal/feed TestUnresponsiveLeader
+  's/l\.failedUntil\[leader\.ID\] = now\.Add\(backoff\)/_ = backoff/; s/q\.wait\+responseMargin/time.Hour/; s/q\.wait\+maxTransfer/time.Hour/' ./internal/feed TestUnresponsiveLeader
 mutant "a disconnected leader is followed" internal/feed/feed.go \
   's/err == nil \&\& age > q\.maxAge/false/' ./internal/feed TestDisconnectedLeader
 mutant "idle connections are not closed" internal/callers/conn.go \
