--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -28,7 +28,7 @@
 	noUpstream
 	// allFull means that all eligible upstreams are overloaded.
 	allFull
-	// allThrottled means that all eligible upstreams have asked for fewer requests.
+	// allThrottled means that all eligible upstreams have asked for fewer requests, by a limit or a backoff.
 	allThrottled
 )
 
@@ -54,7 +54,7 @@
 	// suspect request while the same request from another caller is in progress.
 	codeQuarantined = "quarantined"
 	codeOnTrial     = "on-trial"
-	// codeUpstreamFailed means that an upstream may have run the request and responded with a statusError.
+	// codeUpstreamFailed means that an upstream that may have run the request responded with an error status.
 	codeUpstreamFailed = "upstream-failed"
 )
 
--- a/internal/gateway/board_test.go
+++ b/internal/gateway/board_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestUnresponsiveHeadGetsOneRequest: a dead head looked idle and attracted all requests whenever its
+// TestUnresponsiveHeadGetsOneRequest: an unresponsive head looked idle and attracted all requests whenever its
 // suspicion expired.
 func TestUnresponsiveHeadGetsOneRequest(t *testing.T) {
 	now := time.Now()
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -202,7 +202,9 @@
 }
 
 // scoreTarget scores a target: by its load relative to its slots or, where the engine is known, by the
-// predicted first event in passes of a full batch, plus the penalties of adjustScore.
+// predicted first event in passes of a full batch, plus the penalties of adjustScore. The lowest score is
+// best. offset is how much later than predicted the model's first events come; as it is the same for all
+// heads of the model, it is added to predictedFirst only.
 func (tt *targetTable) scoreTarget(now time.Time, t *target, prompt float64, offset time.Duration) scoredTarget {
 	candidate := scoredTarget{target: t, name: t.name(), score: float64(tt.load(t)+1) / float64(t.slots)}
 	if t.engine.CanPredict() {
--- a/internal/gateway/condition_test.go
+++ b/internal/gateway/condition_test.go
@@ -11,7 +11,8 @@
 // seconds.
 func allowedRequests(limit float64) int64 { return int64(1.5*4*limit + 5) }
 
-// TestUpstreamLimitIsRespected: the header with the limit was dropped with the rest of the response.
+// TestUpstreamLimitIsRespected: a limit that an upstream names in the header of its responses must be
+// respected. The gateway discarded this header with the rest of the response.
 func TestUpstreamLimitIsRespected(t *testing.T) {
 	s := newTestSite(t, options{pause: time.Microsecond})
 	limited := s.heads[0]
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -143,22 +143,22 @@
 }
 
 // TestRequestSurvivesUpstreamCrashes: the VMs of a request may terminate one after the other for reasons
-// of their own, more often than its route allows attempts. It must be served nevertheless, and not be
+// unrelated to it, as often as its route allows attempts. It must be served nevertheless, and not be
 // quarantined.
 func TestRequestSurvivesUpstreamCrashes(t *testing.T) {
-	const crashes, uneventful = 2, 3
+	const crashes, requestsBefore = 2, 3
 	var s *testSite
 	var count atomic.Int64
 	s = newTestSite(t, options{heads: 6, observe: func(o groupengine.Observation) {
 		if o.Kind != groupengine.RequestExecuted {
 			return
 		}
-		if n := count.Add(1); n > uneventful && n <= uneventful+crashes {
+		if n := count.Add(1); n > requestsBefore && n <= requestsBefore+crashes {
 			s.crash(o.VM)
 			panic(http.ErrAbortHandler)
 		}
 	}})
-	for i := range uneventful + 5 {
+	for i := range requestsBefore + 5 {
 		// The first requests earn the credit for the repeats.
 		if err := s.fetchStream(fmt.Sprintf("r%d", i), "/stream/again"); err != nil {
 			t.Errorf("request %d: %v", i, err)
--- a/internal/gateway/divide.go
+++ b/internal/gateway/divide.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// stateInterval is the approximate time between two updates of the loads of other nodes.
+	// stateInterval is the approximate time between two updates of the loads of other nodes. Requests are
+	// divided for the time until the next update.
 	stateInterval = 300 * time.Millisecond
 	// maxUnseenArrivals is the number of arrivals per head, since the last updates of the other nodes, up
 	// to which the known loads count as fresh.
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -31,7 +31,7 @@
 	samples [maxTimeoutSamples]time.Duration
 	count   int
 	// minTypical is the timeout below which a caller is assumed to be retrying, typical the median
-	// timeout; both are zero while unknown.
+	// timeout; both are zero while unknown. minTypical is also zero while timeouts differ too much.
 	minTypical, typical time.Duration
 }
 
@@ -48,6 +48,8 @@
 	}
 }
 
+// update recomputes minTypical and typical from the samples. minTypical becomes 0, so that no caller counts
+// as retrying, if the timeouts differ too much.
 func (m *callerTimeoutMeter) update() {
 	sorted := slices.Clone(m.samples[:min(m.count, maxTimeoutSamples)])
 	slices.Sort(sorted)
--- a/internal/gateway/predict.go
+++ b/internal/gateway/predict.go
@@ -89,9 +89,10 @@
 	return time.Duration(tt.random.Int64N(int64(limit)))
 }
 
-// maxMeters limits the number of routes for which caller timeouts are learned, about 2 MB of them. Routes
-// come and go with each configuration. When the limit is reached, all are learned again, which takes some
-// dozens of callers each.
+// maxMeters limits the number of routes for which caller timeouts are learned, which take about 2 MB, and
+// those for which durations are learned. Each configuration may add and remove routes. When the limit is
+// reached, all caller timeouts are discarded and learned again, which takes some dozens of callers per
+// route; durations are not learned for further routes.
 const maxMeters = 4096
 
 // waitedBefore returns the estimated time that the caller has spent on earlier attempts.
--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -8,12 +8,12 @@
 	waitShare = 0.6
 )
 
-// rankReserve is the fraction of an upstream's slots that is reserved for more urgent requests, for each
-// rank that a request is below the highest: the least urgent requests are rejected first. maxReserve
-// limits it, so that no rank is starved.
 const (
+	// rankReserve is the fraction of an upstream's slots that is reserved for more urgent requests, for
+	// each rank that a request is below the highest: the least urgent requests are rejected first.
 	rankReserve = 0.1
-	maxReserve  = 0.3
+	// maxReserve limits the reserved fraction, so that no rank is starved.
+	maxReserve = 0.3
 )
 
 // headroom returns how many requests beyond its slots an upstream may hold for the call. A negative result
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	store := platform.NewStore(storeServer.URL, http.DefaultTransport, 2*time.Second)
-	keeper := catalog.NewCache(platform.NewConfiguration(store), log, 100*time.Millisecond)
+	catalogs := catalog.NewCache(platform.NewConfiguration(store), log, 100*time.Millisecond)
 	directory := fleet.NewDirectory(platform.NewDirectory(store), log, 100*time.Millisecond, func() time.Duration { return 0 })
 	s.listen = freeAddress(t)
 	// A ratio of two pays for one repeat of each request, even right after the start.
@@ -97,13 +97,13 @@
 		BalancerDelay: time.Millisecond, ShutdownLimit: cmp.Or(o.stopLimit, waitLimit), Linger: o.linger, RevokeBound: o.revokeBound,
 		Repeats: repeats,
 	}, gateway.Parts{
-		Log: log, Metrics: metrics.NewRegistry(), Tracer: tracing.Off(), Catalog: keeper, Directory: directory,
+		Log: log, Metrics: metrics.NewRegistry(), Tracer: tracing.Off(), Catalog: catalogs, Directory: directory,
 		Caller: platform.Caller{}, Upstream: platform.Upstream{}, Nodes: func() int { return 1 }, StateTTL: func() time.Duration { return time.Second },
 		Suspect: func(string, uint64) {}, Dissolving: func() []string { return nil }, StepDown: func() {}, TriggerExchange: func() {},
 	})
-	keeper.OnChange(s.server.Rebuild)
+	catalogs.OnChange(s.server.Rebuild)
 	directory.OnChange(func(*fleet.Snapshot) { s.server.Rebuild() })
-	for _, service := range []interface{ Start(context.Context) error }{keeper, directory, s.server} {
+	for _, service := range []interface{ Start(context.Context) error }{catalogs, directory, s.server} {
 		if err := service.Start(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 		callers.Close()
 		_ = s.server.Stop(context.Background())
 		_ = directory.Stop(context.Background())
-		_ = keeper.Stop(context.Background())
+		_ = catalogs.Stop(context.Background())
 	})
 	if !o.noConfiguration {
 		waitFor(t, "the gateway to be ready", func() bool { ok, _ := s.server.Ready(); return ok })
--- a/internal/gateway/stalls_test.go
+++ b/internal/gateway/stalls_test.go
@@ -16,7 +16,7 @@
 // TestOneStreamAtABusyHead: each of 295 nodes had a stream at only one or two heads, and had learned no
 // typical pause. A pass that reads prompts takes up to 447 ms there, but 350 ms of silence counted as a
 // stall: the stream was canceled, its prompt was read again elsewhere, and the budget for repeats was used
-// up when groups really lost members.
+// up when groups did lose members.
 //
 //	5007 all streams of a head fell silent silent_ms=352 usual_pause_ms=0 requests=1
 //	5011 a request is not sent again budget={"earned":0.1,"fixed":0.5,"nodes":295}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -93,7 +93,8 @@
 	return !s.sharedWithSuspect
 }
 
-// ejectTerminated ejects a VM whose port is closed.
+// ejectTerminated ejects a VM whose port is closed, and reports it to other nodes if it is a head. It does
+// nothing if more than half of terminatedEjection is left of an earlier ejection.
 func (tt *targetTable) ejectTerminated(now time.Time, s *send) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
--- a/internal/gateway/unproven.go
+++ b/internal/gateway/unproven.go
@@ -45,7 +45,7 @@
 	return ok
 }
 
-// any reports whether there are any pending terminations.
+// any reports whether any send is remembered, that is, whether a termination may still be confirmed.
 func (p *pendingTerminations) any() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
