--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -188,6 +188,7 @@
 	}
 }
 
+// tickLoop triggers a reconciliation every tickInterval until the director stops.
 func (d *Director) tickLoop() {
 	defer d.running.Done()
 	ticker := time.NewTicker(tickInterval)
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -31,8 +31,8 @@
 	w.check(t)
 }
 
-// formAndStage waits until groups are formed, marks the model "big" as staged on every VM and
-// starts traffic.
+// formAndStage runs the world for 6 s, in which groups are formed. It then marks the model "big" as
+// staged on every VM and starts traffic.
 func (w *world) formAndStage(n *node) {
 	w.run(6*time.Second, func() bool { return false })
 	for _, e := range w.vms {
--- a/internal/director/state.go
+++ b/internal/director/state.go
@@ -66,7 +66,9 @@
 	// another one takes over its groups. It is longer than most network partitions between
 	// failure domains last; during a partition the domain's own nodes keep managing the groups.
 	takeoverDelay = 10 * time.Second
-	// orderRetryDelay is the delay before a VM gets another order after a failed call.
+	// orderRetryDelay is the delay before a VM gets another order after a failed call, after an
+	// order that did not match the VM's state, after an order to open it as a head, and after a query
+	// for its progress.
 	orderRetryDelay = 300 * time.Millisecond
 	// stagingRetryDelay is how long a host that refused a copy gets no further order to stage.
 	stagingRetryDelay = 4 * time.Second
@@ -137,6 +139,7 @@
 	joinAccepted map[string]bool
 	// joinSent holds the VMs that were sent a join, which they may have carried out.
 	joinSent map[string]bool
+	// loads is the number of members that must load the model's weights.
 	loads    int
 	openSent bool
 	deadline time.Time
