--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -27,8 +27,11 @@
 	exitFailure  = 1
 	exitUsage    = 2
 	exitConflict = 3
-	exitInvalid  = 4
-	exitUnknown  = 5
+	// exitInvalid means that the change is invalid: the control daemon rejected it, or its CSV file has
+	// errors.
+	exitInvalid = 4
+	// exitUnknown means that the outcome of the change is unknown.
+	exitUnknown = 5
 )
 
 // Environment variables that are read if the corresponding flag is not given. envToken
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -40,6 +40,8 @@
 	return c
 }
 
+// status prints the status of the failure domain of the control daemon that --control names, and with
+// all that of the other failure domains as well.
 func (a *app) status(c *cobra.Command, all bool) error {
 	first, err := a.fetchStatus(c, a.control)
 	if err != nil {
--- a/internal/ctl/table.go
+++ b/internal/ctl/table.go
@@ -224,7 +224,8 @@
 	}
 }
 
-// diff returns the cells that the edits would change, with the current and the new value.
+// diff returns the cells that the edits would change, with the current and the new value, and one
+// more line for each row that they would add.
 func diff(s *table.Sheet, rows []*table.Row, edits []*marbleroadv1.RowEdit) grid {
 	g := grid{header: []string{nameColumn, "column", "now", "file"}}
 	for _, e := range edits {
