--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -38,6 +38,7 @@
 	return false
 }
 
+// Values of Key.Required.
 var (
 	allPrograms = []Program{EntryProgram, ControlProgram, NodeProgram}
 	nodeOnly    = []Program{NodeProgram}
@@ -45,6 +46,7 @@
 	controlOnly = []Program{ControlProgram}
 )
 
+// Values of Key.Allowed that several keys share.
 const (
 	allowedName     = "1 to 63 of a-z, 0-9, dot, underscore and hyphen"
 	allowedAddress  = "an IP number and port such as 10.0.0.1:8080"
@@ -176,6 +178,8 @@
 		func(s *Settings, t string) error { return parseYesNo(t, &s.Debug.Pprof) }},
 }
 
+// namePattern matches the values that allowedName describes; the first character must be a letter or a
+// digit.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 func parseName(text string, into *string) error {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -60,6 +60,8 @@
 	return false
 }
 
+// validFile has the settings that the entry and the control daemon require, and not those that
+// marbleroad-node requires.
 const validFile = `[node]
 id = obuda-1
 failure_domain = obuda
