--- a/internal/event/async.go
+++ b/internal/event/async.go
@@ -78,7 +78,8 @@
 	return len(p), nil
 }
 
-// Dropped returns the number of lines that were dropped.
+// Dropped returns the number of lines that were not written: the queue was full, the write failed, or
+// the writer was closed.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
 // Close writes the queued lines and stops the writer.
--- a/internal/event/async_test.go
+++ b/internal/event/async_test.go
@@ -25,8 +25,8 @@
 	a.Close()
 }
 
-// TestOrdinaryLinesAreBounded checks that the rate limit applies to each event separately,
-// restarts each second, and does not apply to warnings.
+// TestOrdinaryLinesAreBounded checks the rate limit of the lines below the level of warnings: it counts
+// each event separately, starts again each second, and does not apply to warnings.
 func TestOrdinaryLinesAreBounded(t *testing.T) {
 	var out bytes.Buffer
 	l, err := New(&out, "info", "n", "p")
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -82,11 +82,11 @@
 		"If it repeats, compare the engine's fencing token with the plan."}
 	VMLost = Event{4004, zerolog.WarnLevel, "a VM is no longer present",
 		"See marbleroadctl status for its group."}
-	VMReturned = Event{4005, zerolog.InfoLevel, "a VM is present",
+	VMReturned = Event{4005, zerolog.InfoLevel, "a VM is present again",
 		"None."}
 	PeerLost = Event{4006, zerolog.WarnLevel, "a peer no longer responds",
 		"Check its VM and the network to it."}
-	PeerReturned = Event{4007, zerolog.InfoLevel, "a peer responds",
+	PeerReturned = Event{4007, zerolog.InfoLevel, "a peer responds again",
 		"None."}
 	ControlSwitched = Event{4008, zerolog.WarnLevel, "the entry reads from another control daemon",
 		"Check the control daemon on this VM."}
@@ -142,6 +142,7 @@
 
 // Events of requests.
 var (
+	// RequestDone is for a request that marbleroad-entry served; marbleroad-node emits RequestServed.
 	RequestDone = Event{5001, zerolog.DebugLevel, "request answered",
 		"None."}
 	RequestRefused = Event{5002, zerolog.InfoLevel, "request refused",
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -68,7 +68,7 @@
 // removes the limit.
 func (l *Logger) SetRate(maxLines int) { l.rates.maxLines.Store(int32(maxLines)) }
 
-// Skipped returns the number of lines that the limit has skipped.
+// Skipped returns the number of lines that were not written because of the limit that SetRate sets.
 func (l *Logger) Skipped() int64 {
 	l.rates.mu.Lock()
 	defer l.rates.mu.Unlock()
