--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -15,7 +15,7 @@
 // ErrInvalid marks a configuration that cannot be put in force.
 var ErrInvalid = errors.New("invalid catalog")
 
-// Kind tells whether a route's requests may run more than once, and whether their responses are streams.
+// Kind determines whether a route's requests may run more than once, and whether their responses are streams.
 type Kind uint8
 
 const (
@@ -28,7 +28,7 @@
 	Stream
 )
 
-// String returns the kind's name as logs have it.
+// String returns the kind's name for logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -166,7 +166,8 @@
 	Limits   Limits
 	// Keys maps each key to its team. A nil map means that no route needs a key.
 	Keys map[string]Team
-	// Document is the encoded form that this was decoded from, for nodes that read the configuration from this one.
+	// Document is the encoded form that the content was decoded from. Other nodes that read the
+	// configuration from this node receive it.
 	Document []byte
 }
 
@@ -234,6 +235,8 @@
 	}
 }
 
+// addRoute validates a route, adds it to the index by host and prefix, and raises the LongestTimeout of
+// its services to the route's timeout.
 func (c *Catalog) addRoute(r *Route) error {
 	if len(r.Prefix) == 0 || r.Prefix[0] != '/' || r.Prefix[len(r.Prefix)-1] != '/' {
 		return errors.Wrapf(ErrInvalid, "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
--- a/internal/catalog/keeper.go
+++ b/internal/catalog/keeper.go
@@ -76,8 +76,8 @@
 // neverVerified is the age of a verification that has not happened yet.
 const neverVerified = time.Duration(1<<63 - 1)
 
-// verification records when the catalog in force, or its absence, was last known to be the
-// newest state.
+// verification records when the source was last known to have no newer catalog than the one in force,
+// or, while none is in force, no catalog at all.
 type verification struct {
 	// at is when the verifying call was sent.
 	at time.Time
@@ -101,12 +101,12 @@
 	return &Cache{source: source, log: log, wait: watchWait, updated: make(chan struct{})}
 }
 
-// OnChange registers a function that is called after each adoption. It must be
-// called before Start.
+// OnChange registers a function that is called each time a newer catalog is put in force.
+// OnChange must be called before Start.
 func (c *Cache) OnChange(f func()) { c.onChange = append(c.onChange, f) }
 
 // OnReconnect registers a function that is called when the source responds again after a failure,
-// before the response's catalog is adopted. It must be called before Start.
+// before the response's catalog is adopted. OnReconnect must be called before Start.
 func (c *Cache) OnReconnect(f func()) { c.onReconnect = append(c.onReconnect, f) }
 
 // Name implements kernel.Service.
