--- a/internal/table/sheet.go
+++ b/internal/table/sheet.go
@@ -16,14 +16,17 @@
 	maxWeight      = 1000
 	maxVMsPerGroup = 64
 	maxReplicas    = 1000
-	maxSlots       = 100000
-	maxQueue       = 100000
-	maxTimeout     = 24 * time.Hour
+	// maxSlots bounds requests in flight: the slots of an upstream and the concurrency of a team at an
+	// entry.
+	maxSlots   = 100000
+	maxQueue   = 100000
+	maxTimeout = 24 * time.Hour
 	// maxRate bounds rates in requests per second, and also the weights of the groups sheet.
 	maxRate      = 1e6
 	keyHashBytes = 32
 )
 
+// namePattern matches the names of rows, and the cells that hold a name.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // CheckName checks the name of a row.
@@ -299,6 +302,7 @@
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
+// parseFloat parses a number from 0 to high. It rejects NaN.
 func parseFloat(text string, high float64, dest *float64) error {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v <= high) {
@@ -317,6 +321,7 @@
 	return nil
 }
 
+// parseKeyHash accepts hex digits of either case and keeps them as they are.
 func parseKeyHash(text string, dest *string) error {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != keyHashBytes {
