--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -88,7 +88,7 @@
 	for ctx.Err() == nil {
 		retryAfter := c.sendRequest(random, client)
 		pause := meanPause/2 + time.Duration(random.Int64N(int64(meanPause)))
-		// One caller in five ignores Retry-After.
+		// The caller ignores one Retry-After in five.
 		if retryAfter > pause && random.IntN(5) > 0 {
 			pause = min(retryAfter, 2*time.Second)
 		}
@@ -103,7 +103,7 @@
 	if !ready {
 		return 0
 	}
-	a := call{id: fmt.Sprintf("r-%d", c.next.Add(1)), node: n.number, incarnation: incarnation, class: c.class(random)}
+	a := call{id: fmt.Sprintf("r-%d", c.next.Add(1)), node: n.number, incarnation: incarnation, class: c.pickClass(random)}
 	path, key := c.target(random, &a)
 	if path == "" {
 		return 0
@@ -111,6 +111,7 @@
 	a.key = key
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout+2*time.Second)
 	defer cancel()
+	// The caller disconnects early from 5 % of the streams, and from 35 % during CallersDisconnect.
 	if a.class == streamRequest && random.IntN(20) < 1+6*min(int(c.disconnects.Load()), 1) {
 		timer := time.AfterFunc(50*time.Millisecond+time.Duration(random.IntN(400))*time.Millisecond, cancel)
 		defer timer.Stop()
@@ -124,7 +125,8 @@
 	return retryAfter
 }
 
-func (c *callers) class(random *rand.Rand) class {
+// pickClass picks a class at random: 60 % streams, 15 % reads, 15 % writes and 10 % route probes.
+func (c *callers) pickClass(random *rand.Rand) class {
 	switch draw := random.IntN(20); {
 	case draw < 12:
 		return streamRequest
@@ -136,8 +138,8 @@
 	return routeProbe
 }
 
-// target returns the path and the key of a request. The path is empty for a route probe while no
-// route was added.
+// target returns the path and the key of a request, and sets the call's number of events and its
+// version. The path is empty for a route probe while no route was added.
 func (c *callers) target(random *rand.Rand, a *call) (path, key string) {
 	tb := c.testbed
 	tb.mu.Lock()
@@ -166,6 +168,8 @@
 	}
 }
 
+// send sends the request, records its response in the call, and returns the Retry-After of a response
+// other than 200.
 func (c *callers) send(ctx context.Context, client *http.Transport, n *node, path string, a *call) time.Duration {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.testbed.addr(roleNode, n.number, listenPort)+path, strings.NewReader("body of "+a.bodyName()))
 	if err != nil {
--- a/test/soak/conditions.go
+++ b/test/soak/conditions.go
@@ -88,7 +88,8 @@
 	})
 }
 
-// pickServing picks a VM that receives requests, so that nodes get responses from it.
+// pickServing picks a VM that receives requests, so that nodes get responses from it: a plain VM or the
+// head of an open group. Without such a VM it picks any.
 func pickServing(live []*upstream, target int) *upstream {
 	candidates := slices.DeleteFunc(slices.Clone(live), func(u *upstream) bool {
 		return !u.plain && (u.vm.Rank() != 0 || u.vm.State() != "open")
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -101,6 +101,8 @@
 	}
 }
 
+// applyToStoreLinks applies a proxy mode to the links of all nodes to the store for the fault's
+// duration.
 func (tb *testbed) applyToStoreLinks(f Fault, m faultproxy.Mode) {
 	adjust := func(by int) func() {
 		return func() {
@@ -291,7 +293,7 @@
 	tb.history.recordDisturbance(disturbance{node: anUpstream, from: from, to: time.Now(), kind: f.Kind})
 }
 
-// terminate closes a VM's server and proxy for good.
+// terminate ends a VM: it closes its server and proxy, which are not started again.
 func (tb *testbed) terminate(u *upstream) {
 	tb.mu.Lock()
 	u.terminated = true
--- a/test/soak/schedule.go
+++ b/test/soak/schedule.go
@@ -17,8 +17,9 @@
 
 // The kinds of faults. Those of nodes and upstreams have the number of a node or an upstream as
 // their target. Partitioned freezes the connections of a link, OneWay loses the responses on it,
-// Silent makes the open connections unresponsive for good and Reset closes them once. The links of
-// NodeLinks are those by which other nodes reach a node.
+// Silent makes the open connections unresponsive for good and Reset closes them once. Kinds with
+// FromNodes or NodeLinks apply to the link by which other nodes reach a node. NodeKill sends SIGKILL
+// and NodeStop SIGTERM; both start the node again after the fault's duration.
 const (
 	StoreDown                   Kind = "store-down"
 	StoreUnresponsive           Kind = "store-silent"
--- a/test/soak/world.go
+++ b/test/soak/world.go
@@ -24,9 +24,9 @@
 	longStreamEvents    = 120
 	longStreamFrequency = 5
 	eventInterval       = 30 * time.Millisecond
-	// groupSize is the number of VMs of a group, engineSlots the number of requests that a group
-	// runs at once.
-	groupSize   = 2
+	// groupSize is the number of VMs of a group.
+	groupSize = 2
+	// engineSlots is the number of requests that a group runs at once.
 	engineSlots = 8
 	// In any repeatWindow, all nodes together may repeat repeatRatio of a service's requests, and
 	// repeatExtra requests beyond that.
