--- a/test/policy/bench/quota.go
+++ b/test/policy/bench/quota.go
@@ -14,8 +14,8 @@
 	At time.Duration
 	// Demand is the number of requests per second at each entry from then on.
 	Demand []float64
-	// Partitioned lists entries whose reports don't reach the others from then
-	// on.
+	// Partitioned lists entries whose reports don't reach the others until the
+	// next event.
 	Partitioned []int
 	// Dead lists entries that are stopped from then on.
 	Dead []int
@@ -127,6 +127,7 @@
 	return false
 }
 
+// totalDemand returns the demand at the entries that are not stopped.
 func totalDemand(demand []float64, entries []*limitEntry) float64 {
 	total := 0.0
 	for i, x := range entries {
@@ -181,9 +182,10 @@
 	}
 }
 
-// share returns the share that entry i computes for itself. A partitioned entry
-// keeps the share of an entry with unknown demand for the lease and the minimum
-// share after it; the others omit entries without reports after the lease.
+// share returns the share that entry i computes for itself. It counts the demand
+// of an entry without a current report as unknown for the lease, and omits the
+// entry after it. A partitioned entry counts all other demands as unknown for the
+// lease, and then takes the minimum share.
 func (s LimitScenario) share(entries []*limitEntry, sinceReport []int, i, step, lag, lease int) float64 {
 	if entries[i].partitioned && sinceReport[i] > lease {
 		return quota.Floor(s.Limit, s.Entries)
@@ -208,6 +210,8 @@
 
 func indexName(i int) string { return fmt.Sprintf("entry-%02d", i) }
 
+// worstWindow returns the maximum number of requests admitted in a limitWindow, as
+// a multiple of what the limit allows.
 func worstWindow(s LimitScenario, passed []int) float64 {
 	n := int(limitWindow / s.Step)
 	worst, inside := 0, 0
