--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -330,8 +330,8 @@
 // size implements Size. It is called with mu held.
 func (c *Cluster) size() int { return max(len(c.known)+1, c.maxKnownNodes) }
 
-// KnownSize returns the number of nodes that share a cluster-wide limit. It is 0 until the other
-// nodes' records have been read: until then a node that took itself for the only one would use the
+// KnownSize returns the number of nodes among which a cluster-wide limit is divided. It is 0 until
+// the other nodes' records have been read: until then Size may return 1, and this node would use the
 // full limit.
 func (c *Cluster) KnownSize() int {
 	if c.recordsAt.Load() == nil {
--- a/internal/cluster/hubs_test.go
+++ b/internal/cluster/hubs_test.go
@@ -41,7 +41,7 @@
 	partitioned atomic.Bool
 	// extraDelay is the delay added to each of the node's calls, in nanoseconds.
 	extraDelay atomic.Int64
-	// load is the load that the node reports for one group, exchanges the number of its calls so
+	// load is the load that the node reports for one group; exchanges is the number of its calls so
 	// far.
 	load      atomic.Uint32
 	directing atomic.Pointer[[]string]
--- a/internal/cluster/quarantine_test.go
+++ b/internal/cluster/quarantine_test.go
@@ -19,11 +19,11 @@
 }
 
 // terminateUnder records at a node that an upstream terminated under a request that the node sent.
-func (f *testFleet) terminateUnder(node int, request quarantine.Fingerprint, life quarantine.Incarnation) quarantine.Verdict {
-	return f.nodes[fmt.Sprintf("n%03d", node)].suspects.RecordTermination(time.Now(), request, life, true)
+func (f *testFleet) terminateUnder(node int, request quarantine.Fingerprint, incarnation quarantine.Incarnation) quarantine.Verdict {
+	return f.nodes[fmt.Sprintf("n%03d", node)].suspects.RecordTermination(time.Now(), request, incarnation, true)
 }
 
-// TestRequestInQuarantineIsKnownEverywhere: a crashing request came to a node of another failure
+// TestRequestInQuarantineIsKnownEverywhere: a crashing request arrived at a node of another failure
 // domain each time, and each node forwarded it as if it were new. Three terminations at three nodes
 // must put it in quarantine at all nodes within the propagation bound, including a node that is
 // added, one that restarts under its ID and one that returns from a partition. Nothing is sent
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -271,7 +271,8 @@
 	return Record{ID: s.GetNode(), Address: s.GetAddress(), FailureDomain: s.GetFailureDomain(), Processor: s.GetProcessor()}
 }
 
-// recordState stores a state if it is newer than the stored one.
+// recordState stores a node's state, which dates from the time at, unless the stored one is newer. If
+// the node had counted as lost, recordState logs its return.
 func (c *Cluster) recordState(state *marbleroadv1.NodeState, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/sharing_test.go
+++ b/internal/cluster/sharing_test.go
@@ -21,22 +21,22 @@
 	limitFactor = 1.5
 	limitExtra  = 5
 	limitGrace  = 3 * time.Second
-	// callersPerNode is the number of requests a second that come to each node.
-	callersPerNode = 5
+	// requestsPerNode is the number of callers' requests per second at each node.
+	requestsPerNode = 5
 )
 
-// limitedVM is an upstream VM that reports a limit to the nodes that send to it, and these nodes.
+// limitedVM simulates an upstream VM that reports a limit, and the nodes that send requests to it.
 type limitedVM struct {
-	life  backpressure.Incarnation
-	limit float64
-	fleet *testFleet
+	incarnation backpressure.Incarnation
+	limit       float64
+	fleet       *testFleet
 
 	mu     sync.Mutex
 	tables map[string]*backpressure.Table
 	// nodes are the nodes that receive callers' requests.
 	nodes []*testNode
-	// arrivals are the times of requests from nodes that know the limit, uninformed counts those
-	// from other nodes.
+	// arrivals are the times of requests from nodes that know the limit; uninformed counts the
+	// requests from nodes that do not.
 	arrivals   []time.Time
 	uninformed int
 	// sharing returns the nodes that share the limit.
@@ -69,26 +69,27 @@
 	})
 }
 
-// request simulates one request at a node that could go to the VM.
-func (v *limitedVM) request(n *testNode, chance float64, random *rand.Rand) {
+// request simulates one request at a node that could send it to the VM. A node that does not know the
+// VM's limit does so with probability p; one that knows it does so whenever the limit allows it.
+func (v *limitedVM) request(n *testNode, p float64, random *rand.Rand) {
 	now := time.Now()
 	sharing := v.sharing(n)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	table := v.tables[n.config.Self.ID]
-	_, known := table.Limit(v.life)
+	_, known := table.Limit(v.incarnation)
 	switch {
-	case !known && random.Float64() >= chance:
+	case !known && random.Float64() >= p:
 		return
 	case !known:
 		v.uninformed++
-	case table.Check(now, v.life, 0, func() backpressure.Sharing { return sharing }).Throttled:
+	case table.Check(now, v.incarnation, 0, func() backpressure.Sharing { return sharing }).Throttled:
 		return
 	default:
-		table.RecordSent(now, v.life)
+		table.RecordSent(now, v.incarnation)
 		v.arrivals = append(v.arrivals, now)
 	}
-	if table.Observe(now, now, v.life, backpressure.Signals{Limited: true, Limit: v.limit}) == backpressure.LimitSet {
+	if table.Observe(now, now, v.incarnation, backpressure.Signals{Limited: true, Limit: v.limit}) == backpressure.LimitSet {
 		n.TriggerExchange()
 	}
 }
@@ -110,12 +111,14 @@
 	return maxCount
 }
 
-// serve sends requests to random nodes for a time, at a total rate per second.
+// serve simulates callers: it makes requests at random nodes for the given time, at a total rate per
+// second.
 func (v *limitedVM) serve(rate float64, length time.Duration, random *rand.Rand) {
-	const typicalShare = 0.05
+	// vmShare is the fraction of its requests that a node sends to this VM while it knows no limit.
+	const vmShare = 0.05
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-		v.request(v.randomNode(random), typicalShare, random)
+		v.request(v.randomNode(random), vmShare, random)
 	}
 }
 
@@ -125,13 +128,14 @@
 	return v.nodes[random.IntN(len(v.nodes))]
 }
 
-// runLimited runs a number of nodes before a VM with a limit and disturbs the nodes while requests
-// come. It returns the largest number of arrivals in a window and the used part of the limit.
+// runLimited runs count nodes that send requests to a VM with a limit, and disturbs the nodes
+// meanwhile. It returns the largest number of arrivals in a window and the fraction of the limit that
+// is used.
 func runLimited(t *testing.T, count int, limit float64, seed uint64, sharingOf func(*testNode) backpressure.Sharing, disturb func(*limitedVM, *rand.Rand)) (worst int, used float64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	f := newNodes(t, count)
-	v := &limitedVM{life: backpressure.Incarnation{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: sharingOf}
+	v := &limitedVM{incarnation: backpressure.Incarnation{VM: "vm", Born: 7}, limit: limit, fleet: f, tables: make(map[string]*backpressure.Table), sharing: sharingOf}
 	for i := range count {
 		v.attach(f.node(fmt.Sprintf("n%03d", i)))
 	}
@@ -147,7 +151,7 @@
 		defer close(done)
 		disturb(v, random)
 	}()
-	v.serve(float64(callersPerNode*count), length, rand.New(rand.NewPCG(seed, 1)))
+	v.serve(float64(requestsPerNode*count), length, rand.New(rand.NewPCG(seed, 1)))
 	<-done
 	return v.maxInWindow(startedAt), float64(len(v.arrivals)) / length.Seconds() / limit
 }
@@ -215,7 +219,7 @@
 	for _, count := range []int{8, 295} {
 		for _, limit := range []float64{1.7, 20} {
 			for name, disturb := range disturbances {
-				if count > maxFlatNodes && limit > callersPerNode && name != "cut" {
+				if count > maxFlatNodes && limit > requestsPerNode && name != "cut" {
 					continue
 				}
 				t.Run(fmt.Sprintf("%d/%v/%s", count, limit, name), func(t *testing.T) {
@@ -225,7 +229,7 @@
 						if float64(worst) > limitFactor*limit*limitWindow.Seconds()+limitExtra {
 							t.Errorf("%d requests in %v from nodes that knew a limit of %v a second", worst, limitWindow, limit)
 						}
-						if name == "calm" && limit < callersPerNode && used < 0.5 {
+						if name == "calm" && limit < requestsPerNode && used < 0.5 {
 							t.Errorf("%.2f of the limit used", used)
 						}
 					})
