--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -15,9 +15,10 @@
 
 // The reasons for a refusal.
 const (
-	// Displaced means that a request that ranks higher took its place in a full queue.
+	// Displaced means that a request that ranks higher took this one's place in a full queue.
 	Displaced Reason = "displaced"
-	// QueueFull means that the queue is full of requests that rank at least as high.
+	// QueueFull means that the queue is full and the request ranks above none that waits,
+	// neither by priority nor, within the same priority, by its team's load; see displaces.
 	QueueFull Reason = "queue-full"
 	// DeadlineShort means that no slot is expected to be free before the deadline.
 	DeadlineShort Reason = "deadline-short"
@@ -246,7 +247,7 @@
 	return time.Duration((ahead + 1) * float64(q.slotInterval()))
 }
 
-// slotInterval returns the expected time between two slots that become free.
+// slotInterval returns the expected time from one slot becoming free to the next.
 func (q *Queue) slotInterval() time.Duration {
 	return q.serviceTime / time.Duration(max(q.capacity, 1))
 }
@@ -440,7 +441,7 @@
 // expire refuses waiting tickets that can no longer meet their deadlines, so that
 // none waits in vain. If all slots are in use and none has become free for longer
 // than the service time, the upstreams hang. The time by which the service time is
-// exceeded then serves as the slot interval if it is longer than the usual one, so the
+// exceeded then serves as the slot interval if it is longer than slotInterval's, so the
 // expected wait grows until a slot becomes free.
 func (q *Queue) expire(now time.Time) []*Ticket {
 	interval := q.slotInterval()
