--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -16,7 +16,8 @@
 type Engine struct {
 	// Slots is the number of requests that run at once.
 	Slots int
-	// StepsPerPass is the number of token steps in one pass.
+	// StepsPerPass is the number of token steps in one pass: a pass decodes that many tokens
+	// for each running request.
 	StepsPerPass int
 	// StepTime is the duration of one token step; PerSequence is what each running
 	// request adds to it.
