--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -9,7 +9,7 @@
 )
 
 // demandHeadroom is the factor by which Shares raises each reported demand before it
-// divides the limit. The margin lets a rising demand show in the reports.
+// divides the limit. The margin is for a rising demand, which the reports show late.
 const demandHeadroom = 1.1
 
 // floorShare is the fraction of an equal share that an entry keeps without any
@@ -23,14 +23,15 @@
 	Rate  float64
 }
 
-// UnknownRate stands for an unknown demand, which may be as high as the limit. It is a
-// quarter of the largest float64, so that multiplied by demandHeadroom it is still finite.
+// UnknownRate is the Rate of an entry or failure domain whose demand is unknown, which may
+// be as high as the limit. It is a quarter of the largest float64, so that multiplied by
+// demandHeadroom it is still finite.
 const UnknownRate = math.MaxFloat64 / 4
 
 // Floor returns the minimum share of an entry if the limit is divided among the given
-// number of entries. Shares gives it to an entry without demand; it is also all that an
-// entry may use while a control process receives reports of too few others to compute a
-// higher share.
+// number of entries. Shares gives it to an entry without demand. An entry also gets no more
+// than Floor while its control process receives reports from too few other processes to
+// compute a share.
 func Floor(limit float64, entries int) float64 {
 	return limit / float64(max(entries, 1)) * floorShare
 }
