--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -95,14 +95,13 @@
 	return (wait + loadCost + prefill) * max(c.Slowness, 1)
 }
 
-// LowestScorePicker picks the lowest score. It breaks ties by rendezvous hash of the
-// request's Affinity, so that prompts with the same first block are sent to the same
-// upstream.
+// LowestScorePicker picks the lowest score. Scores up to lowest*(1+Margin) + Tolerance count
+// as ties, which the picker breaks by rendezvous hash of the request's Affinity, so that prompts with
+// the same first block are sent to the same upstream.
 type LowestScorePicker struct {
-	// Margin is the fraction by which a score may exceed the lowest and still
-	// count as equal.
+	// Margin is a fraction of the lowest score.
 	Margin float64
-	// Tolerance is the difference, in seconds, up to which scores count as equal.
+	// Tolerance is in seconds, as the scores are.
 	Tolerance float64
 }
 
@@ -143,7 +142,8 @@
 	return p.choose(r, cs, true)
 }
 
-// choose considers only candidates whose Ejected equals ejected.
+// choose returns the index into cs of the chosen candidate among those whose Ejected equals
+// ejected, or -1 for none.
 func (p Policy) choose(r Request, cs []Candidate, ejected bool) int {
 	var kept []Candidate
 	var index []int // of kept candidates in cs
