--- a/internal/groups/decide.go
+++ b/internal/groups/decide.go
@@ -154,7 +154,7 @@
 	membersChanged map[string]bool
 }
 
-// record adds a move that changes the plan.
+// record adds a move and marks the plan as changed.
 func (d *decision) record(m Move) {
 	d.changed = true
 	d.moves = append(d.moves, m)
@@ -372,8 +372,8 @@
 }
 
 // cheapestRepair returns the cheapest of Spare, Join and Dissolve, given that
-// the lost VMs have not returned after the additional time. The cost is
-// infinite if none of them is possible.
+// the lost VMs have not returned after the additional time. If there are enough
+// spares, it is always Spare. The cost is infinite if none of them is possible.
 func (d *decision) cheapestRepair(inc incomplete, others []incomplete, dissolved map[string]bool, after time.Duration) Move {
 	rate := d.costRate(inc)
 	load := inc.spec.LoadTime.Seconds()
@@ -389,7 +389,8 @@
 		if spares+donor.healthy < inc.vacancies() {
 			continue
 		}
-		// The donor's downtime costs this much in any case.
+		// The donor is dissolved, and so down for the full repair time. This saves what its
+		// downtime would cost if it waited for its own lost VMs.
 		saved := d.costRate(donor) * d.recoveryModel(donor, after).meanDowntime()
 		donorCost := donor.spec.DowntimeWeight * d.in.Estimates.RepairTime.Seconds()
 		best = cheaper(best, Move{Group: inc.group.ID, Choice: Join, Donor: donor.group.ID, Cost: rate*load + donorCost - saved})
--- a/internal/groups/plan.go
+++ b/internal/groups/plan.go
@@ -45,9 +45,10 @@
 	Phase      Phase  `json:"phase"`
 }
 
-// Plan assigns all VMs of one fabric domain to groups. It is stored as one
-// object, so that one conditional update moves VMs between groups. Since Assign
-// maps each VM to one group and rank, no VM is ever in two groups.
+// Plan assigns the VMs of one fabric domain to groups. It is stored as one object,
+// so that one conditional update moves VMs between groups. Assign maps a VM to at
+// most one group and rank, so no VM is ever in two groups; VMs without an
+// assignment are spare.
 type Plan struct {
 	FailureDomain string `json:"failure_domain"`
 	Fabric        string `json:"fabric"`
