--- a/internal/placement/copies.go
+++ b/internal/placement/copies.go
@@ -218,12 +218,13 @@
 	return out
 }
 
-// prefetchGroups is how many groups of a model the VMs that serve other models may hold prefetched copies for.
-// These VMs can switch to the model at once, and further copies follow while they join.
+// prefetchGroups bounds the prefetched copies of a model on VMs that serve other models, in groups of the model. These VMs
+// can switch to the model at once, and further copies follow while they join.
 const prefetchGroups = 2
 
-// maxEarlyPrefetch bounds the same copies, as a number of VMs, before the first requests arrive. Loads are fast and cost
-// nothing then, but more copies would not complete in time and would continue when they do cost.
+// maxEarlyPrefetch is the number of VMs that may hold such copies of one model before the first requests arrive, if it is
+// more than prefetchGroups allows. Loads are fast and cost nothing then, but further copies would not complete in time,
+// and loads that continue after the first requests do cost.
 const maxEarlyPrefetch = 128
 
 // prefetchBudget returns how many more VMs that serve other models may get a prefetched copy of the model.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -184,8 +184,8 @@
 // same ratio.
 const reserveMargin = 1.3
 
-// reserveFree reports whether free VMs are reserved instead of forming one more
-// group of the model.
+// reserveFree reports whether free VMs are reserved for the worst-supplied model
+// instead of forming one more group of m.
 func (d *decider) reserveFree(m catalog.Model) bool {
 	if d.in.JoinUnstaged || (len(d.in.Demand) > 0 && d.supply(m) < wellSupplied) {
 		return false
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -144,7 +144,7 @@
 				used[id] = true
 			}
 			if !in.JoinUnstaged && f.Loads > 0 {
-				t.Fatal("a group has to load although there are requests")
+				t.Fatal("a group has VMs that must load although JoinUnstaged is false")
 			}
 		}
 		if !in.JoinUnstaged && loads > in.LoadBudget {
