--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -107,7 +107,8 @@
 }
 
 // NewDirectory returns a directory whose calls wait up to watchWait for changes.
-// debounce returns how long to gather further changes after one, which saves calls.
+// debounce returns how long to wait after a response before the next call, so that one call
+// returns several changes.
 func NewDirectory(source Source, log *event.Logger, watchWait time.Duration, debounce func() time.Duration) *Directory {
 	return &Directory{
 		source:   source,
@@ -126,7 +127,8 @@
 	}
 }
 
-// Rejected returns how many invalid entries, or changes of them, were received.
+// Rejected returns how many invalid entries were received. An entry that changes and is still
+// invalid counts again.
 func (d *Directory) Rejected() int64 { return d.rejected.Load() }
 
 // OnChange registers a function that is called with each new snapshot of changed
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,10 +16,16 @@
 const (
 	// Unassigned is the zero value: the VM is in no group.
 	Unassigned State = iota
+	// Joining VMs may still be loading the group's model; Ready ones wait until the group's head
+	// is opened.
 	Joining
 	Ready
+	// Open is the state of a head that takes requests. In state Closing it gets no new requests,
+	// but may still run some.
 	Open
 	Closing
+	// Broken is the state of a head whose group no longer works; its VMs may be sent to other
+	// groups.
 	Broken
 )
 
--- a/internal/fleet/recent.go
+++ b/internal/fleet/recent.go
@@ -35,7 +35,8 @@
 
 func newRecentChanges() *recentChanges { return &recentChanges{published: make(chan struct{})} }
 
-// restart discards all changes after the full list was read again.
+// restart is called when the full list was read at a revision: it discards all changes, so that
+// followers that have an older revision must read the full list too.
 func (r *recentChanges) restart(revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
