--- a/internal/quarantine/archive.go
+++ b/internal/quarantine/archive.go
@@ -166,8 +166,8 @@
 	a.log.Emit(event.QuarantineUnavailable).Err(err).Send()
 }
 
-// writeLoop writes what this node has observed itself at once. What others have observed and the store
-// lacks is written after a delay.
+// writeLoop writes what this node has observed itself at once. If this node reads the store, it also
+// writes, after a delay, what others have observed and the store lacks.
 func (a *Archive) writeLoop(ctx context.Context) {
 	backoff := wait.Backoff{Min: minRetryPause, Max: maxRetryPause}
 	for ctx.Err() == nil {
@@ -297,7 +297,7 @@
 	return value, errors.Wrap(err, "encode requests in quarantine")
 }
 
-// decode reads a stored object. Times in the future count as now.
+// decode decodes a stored object; now and wall are as for encode. Times in the future count as now.
 func decode(value []byte, now, wall time.Time) ([]Record, error) {
 	var d document
 	if err := json.Unmarshal(value, &d); err != nil {
--- a/internal/quarantine/archive_test.go
+++ b/internal/quarantine/archive_test.go
@@ -113,6 +113,8 @@
 	archive *Archive
 }
 
+// startNode starts a node on the store. With reads it reads the store itself; otherwise it follows
+// other nodes.
 func startNode(t *testing.T, m *memoryStore, reads bool) *archiveNode {
 	t.Helper()
 	log, err := event.New(io.Discard, "error", "n", "test")
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// peer returns the state of a node. The caller must hold mu.
+// peer returns the state of a node, which it creates on first use. The caller must hold mu.
 func (g *Gossip) peer(id string) *peerState {
 	if g.peers[id] == nil {
 		g.peers[id] = &peerState{}
