--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -230,8 +230,8 @@
 	}
 }
 
-// TestRecordOfRemovedVMExpiresAtAllNodes: nodes that had forgotten the VM received its record again
-// from nodes that had not.
+// TestRecordOfRemovedVMExpiresAtAllNodes guards against records that circulate forever: nodes that had
+// forgotten a removed VM received its record again from nodes that had not.
 func TestRecordOfRemovedVMExpiresAtAllNodes(t *testing.T) {
 	unlisted := func(string) (Incarnation, bool) { return Incarnation{}, false }
 	tables := []*Table{NewTable(), NewTable()}
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -36,7 +36,9 @@
 	holderSince time.Time
 }
 
-// refill adds the tokens of the time elapsed since the last refill and returns this node's rate.
+// refill adds the tokens of the time elapsed since the last refill, up to the burst that maxBurst and
+// burstWindow allow, and returns this node's rate. A node that has just become a holder gets no tokens
+// before handoverDelay has passed; one that is no holder has none.
 func (l *limit) refill(now time.Time, vm string, s Sharing) float64 {
 	rate := s.rate(vm, l.rate)
 	l.localRate = rate
--- a/internal/backpressure/sharing.go
+++ b/internal/backpressure/sharing.go
@@ -25,12 +25,11 @@
 	// usedFraction is the fraction of a limit that its holders use. The remainder covers nodes that
 	// have joined and that the previous holders have not learned of yet.
 	usedFraction = 0.9
-	// remoteFraction is the fraction of a limit that a node of another failure domain uses. Holders
+	// remoteFraction is the fraction of a limit that its holder uses if Sharing.Remote is true. Holders
 	// behind a network partition may use the limit at the same time.
 	remoteFraction = 0.25
-	// combinedBurstSeconds and combinedBurstRequests bound what all holders but the first may together
-	// send at once, and thereby the number of holders: combinedBurstRequests requests, plus the
-	// requests of combinedBurstSeconds seconds at the limit.
+	// combinedBurstRequests + combinedBurstSeconds * limit is the number of requests that all holders
+	// but the first may together send at once. It thereby bounds the number of holders.
 	combinedBurstSeconds  = 1
 	combinedBurstRequests = 1.5
 	// minRate is the lowest rate of requests per second. Without any requests no node learns that the
