--- a/internal/gateway/adapted.go
+++ b/internal/gateway/adapted.go
@@ -7,7 +7,7 @@
 	model string
 	// localRate is the number of requests per second that arrive at this node, totalRate at all nodes.
 	localRate, totalRate float64
-	// rejectedShare is the fraction of requests that is rejected.
+	// rejectedShare is the fraction of requests that is rejected, as of the latest decision.
 	rejectedShare float64
 	// serviceTime is the mean time that a request spends at a head. offset is the mean delay of first
 	// events beyond their prediction.
--- a/internal/gateway/board.go
+++ b/internal/gateway/board.go
@@ -16,13 +16,16 @@
 )
 
 const (
-	// failuresToEject is the number of consecutive failures after which an upstream is ejected.
+	// failuresToEject is the number of failures in a row, without an event or a complete response between
+	// them, after which an upstream is ejected: it is chosen after all others, and if it is a head not at
+	// all. An upstream that can't be reached is ejected at the first failure.
 	failuresToEject = 2
-	// ejectionBase is the duration of the first ejection. The duration doubles with each further one,
-	// except for an unreachable upstream, where a new attempt costs a request little.
+	// ejectionBase is the duration of the first ejection. The duration doubles with each further one up to
+	// ejectionMax, until a complete response resets it. It stays at ejectionBase for an unreachable
+	// upstream, where a new attempt costs a request little.
 	ejectionBase = time.Second
 	ejectionMax  = 8 * time.Second
-	// timeSmoothing is the weight of the latest response time in the smoothed response time.
+	// timeSmoothing is the weight of the latest response time in the smoothed response time of a target.
 	timeSmoothing = 0.2
 )
 
@@ -37,24 +40,34 @@
 	// engine predicts the first events of a head; unset for a plain upstream.
 	engine batch.Engine
 
-	// localInFlight is the number of this node's requests in progress.
+	// localInFlight is the number of this node's requests in progress, including reserved slots.
 	localInFlight int
 	// unreadTokens is the total of prompt tokens of this node's requests that have had no event yet.
 	unreadTokens float64
 	// startedStreams is the number of streams in progress that have had an event.
 	startedStreams int
-	lastActivity   time.Time
-	// meanPause is the smoothed pause between events, pauseDeviation its smoothed deviation.
+	// lastActivity is the time of the last event of any stream or, if that is later, the time at which a
+	// request was sent to the idle target. The silence of a head is measured from it.
+	lastActivity time.Time
+	// meanPause is the smoothed pause between events of any of the streams, which is the length of a pass;
+	// pauseDeviation is its smoothed deviation.
 	meanPause      time.Duration
 	pauseDeviation time.Duration
+	// suspectedUntil is the end of the time in which the head gets no requests after a stall that this or
+	// another node has found. The next event from the head clears it.
 	suspectedUntil time.Time
 	// unresponsiveCount counts stalls and failed connections since the last data from the target. While it
-	// is not zero, the target gets one request at a time.
+	// is not zero, the target gets one request at a time: it looks idle, and would otherwise attract all
+	// requests whenever its suspicion expires.
 	unresponsiveCount int
-	// peerReportUntil is the time until which a stall reported by another node counts.
+	// peerReportUntil is the time until which a stall reported by another node shortens the silence that
+	// counts as a stall here.
 	peerReportUntil time.Time
 
+	// responseTime is the smoothed time of complete responses; zero before the first one.
 	responseTime time.Duration
+	// failures counts the failures in a row since the last ejection, ejections the ejections since the last
+	// complete response.
 	failures     int
 	ejections    int
 	ejectedUntil time.Time
@@ -76,21 +89,23 @@
 // key identifies a target across updates of the configuration and the fleet.
 func (t *target) key() string { return t.vm.ID + "/" + t.group }
 
-// send is one attempt in progress at a target.
+// send is one attempt in progress at a target, or a slot that is reserved there for the next attempt.
 type send struct {
 	target *target
 	// vm is the VM of the target when it was chosen. The target's own VM may be replaced by a newer entry
 	// while the send is in progress.
 	vm *fleet.VM
 	// cancel ends the send, for example with errStalled when the target is silent.
-	cancel  context.CancelCauseFunc
+	cancel context.CancelCauseFunc
+	// started is true once the send has had an event.
 	started bool
 	// sentAt is the time at which the send started, lastActivity that of its last event or, before the
 	// first one, its start.
 	sentAt       time.Time
 	lastActivity time.Time
-	// promptTokens is the number of prompt tokens counted as unread. predictedFirst is the predicted time
-	// to the first event without the offset; it is zero if the send must not train the prediction.
+	// promptTokens is the part of the target's unreadTokens that is this send's until its first event.
+	// predictedFirst is the predicted time to the first event without the offset. Both are zero if the
+	// engine's figures allow no prediction; then the first event does not change the offset of modelKey.
 	promptTokens   float64
 	predictedFirst time.Duration
 	modelKey       demandKey
@@ -112,7 +127,8 @@
 	// when it was sent.
 	fingerprint       quarantine.Fingerprint
 	quarantineVerdict quarantine.Verdict
-	// sharedWithSuspect is true if another suspect request was at the target at the same time.
+	// sharedWithSuspect is true if this request is a suspect and another suspect was at the target at the
+	// same time. The termination of the target then does not show which of them caused it.
 	sharedWithSuspect bool
 }
 
@@ -153,7 +169,8 @@
 	pools   map[string]*pool
 	targets map[string]*target
 
-	// budgets accumulate credits over time from startedAt on.
+	// budgets limits the repeats of each service to repeatLimit. The fixed part of a budget accumulates
+	// credits over time from startedAt on.
 	budgets     map[string]*retry.Budget
 	repeatLimit retry.Limit
 	startedAt   time.Time
@@ -169,14 +186,17 @@
 	demandMeasuredAt time.Time
 	// measuredIntervals counts the demand intervals since the first request.
 	measuredIntervals int
-	anyTraffic        bool
-	peers             map[string]*marbleroadv1.NodeState
-	peersReceivedAt   map[string]time.Time
+	// anyTraffic is true once any node has received a request for a model.
+	anyTraffic bool
+	// peers holds the latest valid state of each other node, or of a hub for many, by its ID.
+	peers           map[string]*marbleroadv1.NodeState
+	peersReceivedAt map[string]time.Time
 	// stateTTL is how long the state of another node is valid. peersExpireAt is when the first entry of
 	// peers expires.
 	stateTTL      time.Duration
 	peersExpireAt time.Time
-	peerLoads     map[string]int
+	// peerLoads counts the requests in progress of other nodes at each group.
+	peerLoads map[string]int
 	// peerSuspects counts the suspect requests of other nodes at each group.
 	peerSuspects map[string]int
 	// localDissolving lists the groups that the director of this node is dissolving. dissolving holds
@@ -224,7 +244,9 @@
 	}
 }
 
-// rebuild applies a new catalog or fleet snapshot. Targets that remain keep their state.
+// rebuild applies a new catalog or fleet snapshot. Targets that remain keep their state; draining VMs are
+// not targets. Requests at a VM that has restarted are canceled, whereas those at a target that has merely
+// been removed continue.
 func (tt *targetTable) rebuild(c *catalog.Catalog, s *fleet.Snapshot) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -257,7 +279,8 @@
 }
 
 // cancelRestarted cancels the requests at VMs that have restarted under the same ID, since they will never
-// be answered. Requests that can't be repeated may have run.
+// be answered. It compares the snapshot with the old targets, so it must run before they are replaced. The
+// caller holds mu.
 func (tt *targetTable) cancelRestarted(snapshot *fleet.Snapshot) {
 	for _, t := range tt.targets {
 		vm := snapshot.VMs[t.vm.ID]
@@ -303,7 +326,8 @@
 
 // retainState returns the existing target of the same VM and group, so that its counts and estimates are
 // kept, with the new entry of the VM and the new engine figures. It returns next, without any state, if there
-// is none or the VM has restarted.
+// is none or the VM has restarted: the failures of the previous incarnation must not eject the new one. The
+// caller holds mu.
 func (tt *targetTable) retainState(next *target) *target {
 	old := tt.targets[next.key()]
 	if old == nil || !old.vm.SameIncarnation(next.vm) {
@@ -314,7 +338,8 @@
 	return old
 }
 
-// finish removes a send, and frees the slot that was reserved for its call and not used.
+// finish removes a send, and frees the slot that was reserved for its call and not used. It must be called
+// once for each send that choose or startReserved returned.
 func (tt *targetTable) finish(s *send) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -336,7 +361,9 @@
 	delete(s.target.running, s)
 }
 
-// recordSuccess records a complete response.
+// recordSuccess records a complete response, which took elapsed since its send started. It resets the
+// failures and ejections of the target. The response to a caller that resumes a stream (LastEvent) does not
+// count for the service time of the model.
 func (tt *targetTable) recordSuccess(s *send, elapsed time.Duration) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -352,7 +379,8 @@
 }
 
 // recordFailure records a failed attempt and reports whether the target has just been ejected. A target
-// that could not be reached is ejected at once, and always for ejectionBase.
+// that could not be reached is ejected at once, and always for ejectionBase. A target that is still ejected
+// is not ejected again.
 func (tt *targetTable) recordFailure(now time.Time, s *send, reached bool) bool {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
--- a/internal/gateway/board_test.go
+++ b/internal/gateway/board_test.go
@@ -36,7 +36,8 @@
 	return tt, &Call{Service: "llm", Model: "m"}
 }
 
-// sendTo chooses targets until the given VM is chosen; nil if it never is.
+// sendTo chooses targets until the given VM is chosen, and returns that send; nil if the VM never is. The other
+// sends stay in progress.
 func sendTo(tt *targetTable, now time.Time, c *Call, vm string) *send {
 	const attempts = 20
 	for range attempts {
@@ -84,7 +85,7 @@
 }
 
 // TestUnresponsiveHeadGetsOneRequest: an unresponsive head looked idle and attracted all requests whenever its
-// suspicion expired.
+// suspicion expired. It must get one request at a time until it sends data.
 func TestUnresponsiveHeadGetsOneRequest(t *testing.T) {
 	now := time.Now()
 	tt, c := newTestTable(t, now, noneDissolving)
@@ -113,7 +114,8 @@
 }
 
 // TestLostResponseAtActiveHead: the response to one request was lost while its head served others, and the
-// request waited until its caller gave up.
+// request waited until its caller gave up. Such a request must be found at each check until a slot elsewhere
+// is reserved for it. One on its last attempt has no alternative and must not be found.
 func TestLostResponseAtActiveHead(t *testing.T) {
 	now := time.Now()
 	tt, c := newTestTable(t, now, noneDissolving)
@@ -164,10 +166,10 @@
 func TestWaitingForSlotIsNotLost(t *testing.T) {
 	now := time.Now()
 	tt, c := newTestTable(t, now, noneDissolving)
-	const room = 8
+	const headroom = 8
 	var waiting *send
 	for range 2 * 10 {
-		s, _, reason := tt.choose(now, c, nil, room, false, func(error) {})
+		s, _, reason := tt.choose(now, c, nil, headroom, false, func(error) {})
 		if reason != admitted {
 			t.Fatal("no slot")
 		}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -21,28 +21,33 @@
 func (c scoredTarget) healthy() bool { return c.score < unhealthyPenalty }
 
 const (
-	// remoteDomainPenalty is added to the score of an upstream in another failure domain, as a fraction of
-	// a full batch. Traffic between domains is charged, but at a low price.
+	// remoteDomainPenalty is added to the score of an upstream in another failure domain if its first event
+	// can't be predicted. The score of a head is then its load as a fraction of its slots; that of a plain
+	// upstream is multiplied by its response time in seconds. Traffic between domains is charged, but at a
+	// low price.
 	remoteDomainPenalty = 0.1
 	// remoteDomainPasses is added to the predicted first event of a head in another failure domain, in
 	// passes of a full batch. Links between failure domains are narrow, and a lead of half a pass rarely
 	// decides whether a response is in time.
 	remoteDomainPasses = 0.5
-	// scoreNoise varies the choices of nodes that see the same loads, which are up to one exchange old.
+	// scoreNoise is the range of the random addition to each score. Without it, all nodes, which see the
+	// same loads until the next exchange, would choose the same upstream.
 	scoreNoise = 0.08
-	// unhealthyPenalty ranks a suspected, ejected or dissolving target behind all others.
+	// unhealthyPenalty ranks a suspected, ejected or dissolving target after all others.
 	unhealthyPenalty = 100
 )
 
-// choose starts a send at the target with the lowest score. headroom is the load beyond the slots that a
-// target may have; lastAttempt is true if no further attempt is allowed after this one.
+// choose starts a send at the target that selectTarget selects among those not in tried, and adds that target
+// to tried. headroom is the load beyond its slots that a target may have; it is negative if slots are reserved
+// for more urgent calls. lastAttempt is true if no further attempt is allowed after this one. The caller must
+// finish the send. If no target is chosen, the send is nil and the refusal states why.
 func (tt *targetTable) choose(now time.Time, c *Call, tried map[string]bool, headroom float64, lastAttempt bool, cancel context.CancelCauseFunc) (*send, evaluation, refusal) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
 	return tt.chooseLocked(now, c, tried, headroom, lastAttempt, cancel)
 }
 
-// chooseLocked does the work of choose and adds the target to tried. The caller holds mu.
+// chooseLocked does the work of choose. The caller holds mu.
 func (tt *targetTable) chooseLocked(now time.Time, c *Call, tried map[string]bool, headroom float64, lastAttempt bool, cancel context.CancelCauseFunc) (*send, evaluation, refusal) {
 	tt.dropExpiredPeers(now)
 	p := tt.pools[c.Service]
@@ -65,6 +70,7 @@
 	selected.throttled = throttled
 	reason := selected.refusal(p.service.Engine != nil)
 	if selected.predictedLate && reason == allFull {
+		// While the prediction rejects all requests, there are no first events to correct the offset.
 		tt.offset(key).Decay()
 	}
 	if reason != admitted {
@@ -87,7 +93,7 @@
 	return s, selected.evaluation, admitted
 }
 
-// addSend adds a send to the counts of its target.
+// addSend adds a send to the counts of its target. The caller holds mu.
 func (tt *targetTable) addSend(now time.Time, s *send) {
 	t := s.target
 	if t.localInFlight == 0 {
@@ -100,8 +106,9 @@
 	t.running[s] = struct{}{}
 }
 
-// evaluation holds the candidates that were considered for a request, and the forecast by which it was
-// decided.
+// evaluation describes the basis of a choice, for the log and the errors of rejected calls: the candidates that
+// were considered, the forecast if the requests were divided, and the throttled targets, which were not
+// considered.
 type evaluation struct {
 	scored    []scoredTarget
 	forecast  forecast
@@ -113,14 +120,17 @@
 	evaluation
 	// best is the index in scored of the best candidate that accepts the request; -1 for none.
 	best int
-	// full is true if a healthy candidate is overloaded, predictedLate if that follows from the predicted
-	// first event.
+	// full makes the refusal an overload, not a missing upstream, if no candidate is chosen: it is true if a
+	// healthy candidate is overloaded or, where requests are divided, if there is any healthy one.
+	// predictedLate is true if a candidate does not admit the request because of its predicted first event.
 	full          bool
 	predictedLate bool
 }
 
-// selectTarget divides requests among heads whose engine figures are known. Among all other targets it
-// selects the one with the lowest score that accepts the request; with many nodes it compares only a few.
+// selectTarget selects the target with the lowest score that accepts the request; with many nodes it compares
+// only a few. If many requests have arrived since the known loads were sent, all nodes would select the same
+// head. It then divides the requests among the heads, if their engine figures are known and the request has
+// an objective or was sent before.
 func (tt *targetTable) selectTarget(now time.Time, candidates []*target, hr headRequest, headroom float64) selection {
 	if candidates[0].engine.CanPredict() && (hr.resent || hr.request.Objective > 0) && !tt.loadsAreFresh(now, hr.key, len(candidates)) {
 		if out, ok := tt.divide(now, candidates, hr); ok {
@@ -150,8 +160,9 @@
 	return out
 }
 
-// accepts reports whether a candidate accepts the request. An unresponsive target accepts one request at a
-// time. If a candidate is overloaded, accepts records that in out.
+// accepts reports whether a candidate accepts the request: an unresponsive target accepts one request at a
+// time, any other one as many as headroom and the predicted first event allow. If the candidate is overloaded,
+// accepts records that in out.
 func (tt *targetTable) accepts(now time.Time, candidate scoredTarget, request batch.Request, headroom float64, offset time.Duration, out *selection) bool {
 	if candidate.target.unresponsiveCount > 0 && candidate.target.localInFlight > 0 {
 		return false
@@ -188,8 +199,9 @@
 	return slices.Concat(near[:n], far[:f], near[n:], far[f:])
 }
 
-// refusal returns why no candidate was chosen, or admitted. A suspected head is not used: the reason is
-// overload if healthy heads are full, and no upstream otherwise.
+// refusal returns why no candidate was chosen, or admitted. An unhealthy plain upstream is used if no healthy
+// one accepts the request. An unhealthy head is not: the reason is overload if healthy heads are full, and no
+// upstream otherwise.
 func (sel selection) refusal(heads bool) refusal {
 	usable := sel.best >= 0 && (sel.scored[sel.best].healthy() || !heads)
 	switch {
@@ -242,8 +254,9 @@
 	// minPartitionSilence is the lower bound of the silence of all nodes in a failure domain after which
 	// its upstreams may be unreachable too: two exchanges and a round trip.
 	minPartitionSilence = 800 * time.Millisecond
-	// partitionedPenalty is added to the score of an upstream in such a domain, as a fraction of a full
-	// batch. Such an upstream is used only when the others are more than full.
+	// partitionedPenalty is added to the score of an upstream in such a domain: 1.5 passes of a full batch
+	// if its first event is predicted. For a head without a prediction it is a fraction of the slots, so that
+	// the head is used only when the others are more than full.
 	partitionedPenalty = 1.5
 )
 
--- a/internal/gateway/condition.go
+++ b/internal/gateway/condition.go
@@ -26,7 +26,8 @@
 	return backpressure.Incarnation{VM: vm.ID, Born: vm.Born}
 }
 
-// throttledTargets counts the targets that were skipped because they asked for fewer requests.
+// throttledTargets counts the targets that were skipped because they have asked for fewer requests, by a limit
+// or a backoff.
 type throttledTargets struct {
 	count int
 	// minWait is the time until the first of them accepts a request.
@@ -90,14 +91,17 @@
 	})
 }
 
-// recordCondition records the condition in a response to a send, and returns what it changes.
-func (tt *targetTable) recordCondition(now, sent time.Time, s *send, n backpressure.Signals) backpressure.Change {
+// recordCondition records the condition in a response to a send that started at sent, and returns what it
+// changes.
+func (tt *targetTable) recordCondition(now, sent time.Time, s *send, signals backpressure.Signals) backpressure.Change {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	return tt.conditions.Observe(now, sent, incarnationOf(s.vm), n)
+	return tt.conditions.Observe(now, sent, incarnationOf(s.vm), signals)
 }
 
-// mergeCondition merges a condition received from another node.
+// mergeCondition merges a condition received from another node. listed states whether the platform lists the
+// incarnation of the VM. It returns what the condition changes and whether it is the first to report that the
+// VM is leaving.
 func (tt *targetTable) mergeCondition(now time.Time, r backpressure.Record, listed bool) (change backpressure.Change, leaving bool) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -111,7 +115,8 @@
 	}
 }
 
-// observeCondition processes the upstream's condition in the header of a response.
+// observeCondition processes the upstream's condition in the header of a response to a send that started at
+// sent. A limit that is set or cleared is sent to the other nodes by an immediate exchange.
 func (j *job) observeCondition(sent time.Time, s *send, status int, h http.Header) {
 	signals, err := j.s.upstreamDialect.Condition(status, h)
 	if err != nil {
@@ -181,16 +186,17 @@
 // ObserveVM processes the condition that a VM reports in a response to a probe or order of this node. A limit
 // or backoff is not lifted by such a response: it may come from a part of the VM that does not serve
 // requests.
-func (s *Server) ObserveVM(vm *fleet.VM, n backpressure.Signals, err error) {
+func (s *Server) ObserveVM(vm *fleet.VM, signals backpressure.Signals, err error) {
 	if err != nil {
 		s.reportUnreadable(incarnationOf(vm), "", err)
 	}
-	if n.Leaving {
+	if signals.Leaving {
 		s.recordLeaving(incarnationOf(vm), "")
 	}
 }
 
-// reportUnreadable logs a condition that can't be read, once per incarnation of a VM.
+// reportUnreadable counts a condition that can't be read, and logs the first one of each incarnation of a VM.
+// request is the ID of the request whose response contained it, if any.
 func (s *Server) reportUnreadable(incarnation backpressure.Incarnation, request string, err error) {
 	s.metrics.Count("upstreams.conditions.unreadable", 1)
 	s.targets.mu.Lock()
--- a/internal/gateway/condition_test.go
+++ b/internal/gateway/condition_test.go
@@ -8,7 +8,7 @@
 )
 
 // allowedRequests returns the number of requests that an upstream with a limit may receive within four
-// seconds.
+// seconds, by the same tolerance as in test/soak/conditions.go.
 func allowedRequests(limit float64) int64 { return int64(1.5*4*limit + 5) }
 
 // TestUpstreamLimitIsRespected: a limit that an upstream names in the header of its responses must be
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestCallIsRefusedAtOnceWhenAllUpstreamsAreAtTheirLimits: the call must not wait for a slot until its
-// deadline.
+// TestCallIsRefusedAtOnceWhenAllUpstreamsAreAtTheirLimits: the call must be rejected with a retry delay at
+// once, not wait until its deadline for an upstream.
 func TestCallIsRefusedAtOnceWhenAllUpstreamsAreAtTheirLimits(t *testing.T) {
 	s := newTestSite(t, options{})
 	for _, vm := range s.plain {
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestNoRequestsDuringBackoff: an upstream that rejected all requests looked idle and attracted more of
-// them.
+// TestNoRequestsDuringBackoff: an upstream that rejected all requests and asked for a backoff looked idle and
+// attracted more of them.
 func TestNoRequestsDuringBackoff(t *testing.T) {
 	s := newTestSite(t, options{pause: time.Microsecond})
 	backingOff := s.heads[0]
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestLeavingUpstreamGetsNoRequests: the entry of the upstream may change seconds later, or never.
+// TestLeavingUpstreamGetsNoRequests: an upstream that announces in a response that it leaves must get no
+// further requests, although the platform's entry of it may change seconds later, or never.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	s := newTestSite(t, options{pause: time.Microsecond})
 	leaving := s.heads[0]
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -19,13 +19,16 @@
 // passes in which they write, callers with prompts of very different lengths, and one retry of each
 // rejected call.
 const (
+	// burstStepsPerPass is the number of tokens that a head writes for each request in one pass.
 	burstStepsPerPass = 5
 	// burstTimeout is the longest timeout of a caller.
 	burstTimeout = 6 * time.Second
 	// burstExchange is the time between two state messages of a node, equal to stateInterval.
 	burstExchange = 300 * time.Millisecond
-	// steadyPhase is the time with the steady rate before the burst.
+	// steadyPhase is the time with the steady rate before the burst, in which the nodes learn arrival rates,
+	// service times and offsets.
 	steadyPhase = 10 * time.Second
+	// burstLength is the length of the burst. Calls of its first burstWarmUp are not measured.
 	burstWarmUp = 4 * time.Second
 	burstLength = 12 * time.Second
 )
@@ -132,6 +135,7 @@
 	return last
 }
 
+// schedule runs a function after a simulated delay.
 func (c *burstSimulation) schedule(d time.Duration, do func()) {
 	c.eventCount++
 	heap.Push(&c.events, simEvent{at: c.now.Add(d), sequence: c.eventCount, run: do})
@@ -245,8 +249,8 @@
 	call.CallerTimeout = one.timeout - c.now.Sub(one.firstAttempt)
 	tt.recordRequest(c.now, &call)
 	call.Waited = tt.waitedBefore(c.now, &call)
-	const room = 5
-	s, _, reason := tt.choose(c.now, &call, nil, room, false, func(error) {})
+	const headroom = 5
+	s, _, reason := tt.choose(c.now, &call, nil, headroom, false, func(error) {})
 	if reason != admitted {
 		if one.firstAttempt.Before(c.now) {
 			c.rejectedTwice++
@@ -288,6 +292,8 @@
 	c.schedule(length, func() { c.finishPass(h) })
 }
 
+// finishPass sends the events of a pass, each after eventDelay, and starts the next pass. The first event of a
+// request comes from the pass that reads its prompt.
 func (c *burstSimulation) finishPass(h *burstHead) {
 	var unfinished []*burstCall
 	for _, one := range h.running {
@@ -373,8 +379,9 @@
 }
 
 // TestBurstWithRetries simulates a burst of callers with varying timeouts, so that most retries look like
-// first attempts. Rejected callers retried within 0.3 s, into the same burst, and took the slots of
-// callers that could be in time: 139 responses per second were in time and 113 late.
+// first attempts. While retry delays were at most 0.3 s, rejected callers retried into the same burst and took
+// the slots of callers that could be in time: 139 responses per second were in time and 113 late. The delay
+// must therefore grow with the rejected share.
 func TestBurstWithRetries(t *testing.T) {
 	params := manyNodes
 	params.timeoutSpread = 900 * time.Millisecond
@@ -388,7 +395,8 @@
 	}
 }
 
-// TestRejectionsEndAfterBurst: after a burst, callers that are rejected for a moment must retry soon.
+// TestRejectionsEndAfterBurst: the rejected share lengthens the retry delays, so it must return to zero after a
+// burst, or a caller that is rejected later would wait for seconds.
 func TestRejectionsEndAfterBurst(t *testing.T) {
 	c := newBurst(t, manyNodes, &manyNodes.engine)
 	c.run(900)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -13,12 +13,13 @@
 	demandSmoothing = 0.1
 )
 
+// demandKey identifies a model of a service.
 type demandKey struct{ service, model string }
 
 // demandMeter measures the demand for one model.
 type demandMeter struct {
 	// work is the time, in seconds of a full group, that the requests of the current interval take. rate
-	// is the smoothed work per second.
+	// is the smoothed work per second, which is the number of groups that the requests keep busy.
 	work float64
 	rate float64
 	// arrivals is the rate of requests that this node receives.
@@ -29,7 +30,8 @@
 	rejectedShare float64
 }
 
-// recordRequest records a request. It reports whether it is the first request for a known model.
+// recordRequest records a request of a caller for the demand and for the credit that it earns for repeats. It
+// reports whether it is the first request for a known model that any node has received.
 func (tt *targetTable) recordRequest(now time.Time, c *Call) (first bool) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -82,6 +84,7 @@
 	return pace * (prompt/e.ReadPerSecond + answer*perToken)
 }
 
+// budget returns the budget for the repeats of a service. The caller holds mu.
 func (tt *targetTable) budget(service string) *retry.Budget {
 	if tt.budgets[service] == nil {
 		tt.budgets[service] = retry.NewBudget(tt.repeatLimit, tt.startedAt)
@@ -89,7 +92,8 @@
 	return tt.budgets[service]
 }
 
-// takeRepeat takes a credit for one more send of a request, if the budget allows it.
+// takeRepeat takes a credit for one more send of a request, if the budget allows it. nodes is the number of
+// nodes that share the budget.
 func (tt *targetTable) takeRepeat(now time.Time, service string, nodes int) retry.Decision {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -99,6 +103,8 @@
 // demandInterval is the minimum time between two updates of the smoothed demand.
 const demandInterval = time.Second
 
+// updateDemand updates the smoothed demand with the work since the last update, if that is at least
+// demandInterval ago. The time before the first request does not count. The caller holds mu.
 func (tt *targetTable) updateDemand(now time.Time) {
 	elapsed := now.Sub(tt.demandMeasuredAt)
 	if elapsed < demandInterval {
--- a/internal/gateway/divide.go
+++ b/internal/gateway/divide.go
@@ -26,7 +26,7 @@
 	// retryRejectFactor is how much more likely retries of rejected callers are rejected than new
 	// requests.
 	retryRejectFactor = 4
-	// minRetryWait is the time spent on earlier attempts from which a request counts as a retry.
+	// minRetryWait is the time since the caller's first attempt from which a request counts as a retry.
 	minRetryWait = 50 * time.Millisecond
 )
 
@@ -36,7 +36,8 @@
 	request           batch.Request
 	quarantineVerdict quarantine.Verdict
 	offset            time.Duration
-	// resent is true for a request that was sent before. It is not rejected for lack of capacity.
+	// resent is true for a request that this node has sent to another upstream before, and for one that
+	// resumes a stream. It is not rejected for lack of capacity.
 	resent bool
 }
 
@@ -55,8 +56,9 @@
 }
 
 // divide chooses a head at random, weighted by its share of the requests that all nodes are expected to
-// send until the next update of the loads. best is -1 if the request is rejected. divide reports false if
-// no head is healthy.
+// send until the next update of the loads, so that the nodes together send each head what it can take. If the
+// shares add up to less than 1, the rest is the probability that the request is rejected; best is then -1.
+// divide reports false if no head is healthy.
 func (tt *targetTable) divide(now time.Time, candidates []*target, hr headRequest) (selection, bool) {
 	out := selection{best: -1}
 	shares := tt.shares(now, candidates, hr, &out)
@@ -80,7 +82,8 @@
 	return out, true
 }
 
-// shares returns the healthy heads among the candidates, with their shares.
+// shares returns the healthy heads among the candidates that admit the request, with their shares. It fills
+// in the evaluation in out, and sets full if any head is healthy.
 func (tt *targetTable) shares(now time.Time, candidates []*target, hr headRequest, out *selection) []headShare {
 	out.forecast.horizon = tt.meanStateAge(now) + stateInterval
 	out.forecast.expected = tt.arrivalRate(now, hr.key) * out.forecast.horizon.Seconds()
@@ -136,7 +139,9 @@
 	return !hr.resent && hr.request.Elapsed > minRetryWait
 }
 
-// headLoad returns the load of a target, with its penalties expressed as additional load.
+// headLoad returns the load of a target, with its penalties expressed as additional load. Slots reserved for
+// more urgent requests lower MaxLoad, as does a limit that the VM has named: the remaining headroom is then at
+// most what the limit allows within the horizon.
 func (tt *targetTable) headLoad(now time.Time, t *target, hr headRequest, horizon time.Duration, penalty float64) spread.Head {
 	slots := float64(t.slots)
 	load := float64(tt.load(t))
@@ -173,7 +178,7 @@
 	return completions
 }
 
-// meanStateAge returns the mean age of the states of other nodes.
+// meanStateAge returns the mean age of the states of other nodes; zero if there are none.
 func (tt *targetTable) meanStateAge(now time.Time) time.Duration {
 	if len(tt.peersReceivedAt) == 0 {
 		return 0
@@ -185,7 +190,8 @@
 	return sum / time.Duration(len(tt.peersReceivedAt))
 }
 
-// recordRejectedShare records the fraction of requests that is rejected.
+// recordRejectedShare records the fraction of requests that is rejected, by which the retry delays of
+// rejected callers grow.
 func (tt *targetTable) recordRejectedShare(key demandKey, fraction float64) {
 	if m := tt.demand[key]; m != nil {
 		m.rejectedShare = fraction
--- a/internal/gateway/heldup.go
+++ b/internal/gateway/heldup.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// maxCheckDelay is the delay of a check up to which no scheduling stall is assumed: the CPU quota can
-	// pause a process for the rest of a 100 ms period.
+	// maxCheckDelay is the time between two checks up to which no scheduling stall is assumed: the CPU quota
+	// can pause a process for the rest of a 100 ms period.
 	maxCheckDelay = 2 * stallInterval
 	// minLoggedStall is the duration from which a scheduling stall is logged.
 	minLoggedStall = 200 * time.Millisecond
 )
 
 // detectSchedulingStall returns how long this process was stalled since the last check, and excludes that
-// time from the silence of heads. A node that was paused for 0.6 s considered all heads of its streams
-// silent for that long, canceled all its streams (331 heads in 40 pauses), and made other nodes cancel
-// theirs.
+// time from the silence of heads. It must run before the checks for silent heads. A node that was paused for
+// 0.6 s considered all heads of its streams silent for that long, canceled all its streams (331 heads in 40
+// pauses), and made other nodes cancel theirs.
 func (tt *targetTable) detectSchedulingStall(now time.Time) time.Duration {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -29,8 +29,8 @@
 	return stalled
 }
 
-// shiftActivity moves the recorded times of activity forward by the duration of a stall. The caller holds
-// mu.
+// shiftActivity moves the recorded times of activity, and the times from which calls count as slow, forward by
+// the duration of a stall. The caller holds mu.
 func (tt *targetTable) shiftActivity(now time.Time, stalled time.Duration) {
 	shift := func(at time.Time) time.Time {
 		at = at.Add(stalled)
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestFailedReservationLeavesLimitUnchanged: each attempt to reserve a slot counted as a request against
-// the limit.
+// TestFailedReservationLeavesLimitUnchanged: each attempt to reserve a slot counted as a request against the
+// limit of the upstream, also if the slot was given up for lack of credit for the repeat.
 func TestFailedReservationLeavesLimitUnchanged(t *testing.T) {
 	now := time.Now()
 	tt, c := newTestTable(t, now, noneDissolving)
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestNoSlotReservedAtLimitedHead: a stream that continues at another head is one more request there.
+// TestNoSlotReservedAtLimitedHead: a stream that continues at another head is one more request there, so no
+// slot may be reserved for it at a head that has named a limit of zero.
 func TestNoSlotReservedAtLimitedHead(t *testing.T) {
 	for _, limited := range []bool{false, true} {
 		now := time.Now()
@@ -113,8 +114,8 @@
 	}
 }
 
-// TestReportedLeavingUpstreamGetsNoRequests: otherwise each node would send one more request to the
-// leaving upstream.
+// TestReportedLeavingUpstreamGetsNoRequests: a node sends nothing to an upstream that another node reports as
+// leaving. Otherwise each node would send it one more request before it receives the announcement itself.
 func TestReportedLeavingUpstreamGetsNoRequests(t *testing.T) {
 	now := time.Now()
 	reporter, c := newTestTable(t, now, noneDissolving)
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -42,14 +42,14 @@
 	}
 	m.samples[m.count%maxTimeoutSamples] = timeout
 	m.count++
-	const every = 4
-	if m.count%every == 0 && m.count >= minTimeoutSamples {
+	const samplesPerUpdate = 4
+	if m.count%samplesPerUpdate == 0 && m.count >= minTimeoutSamples {
 		m.update()
 	}
 }
 
-// update recomputes minTypical and typical from the samples. minTypical becomes 0, so that no caller counts
-// as retrying, if the timeouts differ too much.
+// update recomputes minTypical and typical from the samples. If the timeouts differ too much, minTypical
+// becomes 0, so that no caller counts as retrying.
 func (m *callerTimeoutMeter) update() {
 	sorted := slices.Clone(m.samples[:min(m.count, maxTimeoutSamples)])
 	slices.Sort(sorted)
--- a/internal/gateway/predict.go
+++ b/internal/gateway/predict.go
@@ -27,7 +27,7 @@
 }
 
 // request returns the properties of a call that matter for choosing a target. A call that was sent before
-// has no objective: it is not dropped for lack of capacity.
+// or resumes a stream has no objective: it is not dropped for lack of capacity.
 func (tt *targetTable) request(now time.Time, c *Call, resent bool) batch.Request {
 	r := batch.Request{PromptTokens: tt.promptOf(c)}
 	if c.Route == nil || resent || c.LastEvent != "" {
@@ -40,7 +40,7 @@
 }
 
 // headroomFor returns how many requests beyond its slots a target may hold. A plain upstream with known
-// response time accepts as many as it answers within a part of the objective, so that a slow but healthy
+// response time accepts as many as it answers within waitShare of the objective, so that a slow but healthy
 // one gets less. All others have the default headroom.
 func (t *target) headroomFor(request batch.Request, defaultHeadroom float64) float64 {
 	if t.group != "" || request.Objective <= 0 || t.responseTime <= 0 {
@@ -75,6 +75,8 @@
 	}
 }
 
+// offset returns the offset of a model, which it creates if necessary. It must not be called for model names
+// that callers have made up. The caller holds mu.
 func (tt *targetTable) offset(key demandKey) *batch.Offset {
 	if tt.offsets[key] == nil {
 		tt.offsets[key] = &batch.Offset{}
@@ -82,20 +84,22 @@
 	return tt.offsets[key]
 }
 
-// jitter returns a random duration below the limit, so that callers don't all retry at once.
+// jitter returns a random duration below the limit, which is added to retry delays so that callers don't all
+// retry at once.
 func (tt *targetTable) jitter(limit time.Duration) time.Duration {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
 	return time.Duration(tt.random.Int64N(int64(limit)))
 }
 
-// maxMeters limits the number of routes for which caller timeouts are learned, which take about 2 MB, and
-// those for which durations are learned. Each configuration may add and remove routes. When the limit is
-// reached, all caller timeouts are discarded and learned again, which takes some dozens of callers per
-// route; durations are not learned for further routes.
+// maxMeters limits the number of routes for which caller timeouts are learned, and likewise the number for
+// which durations are learned, since each configuration may add and remove routes. So many caller timeouts
+// take about 2 MB. When the limit is reached, all caller timeouts are discarded and learned again, which takes
+// some dozens of callers per route; durations are not learned for further routes.
 const maxMeters = 4096
 
-// waitedBefore returns the estimated time that the caller has spent on earlier attempts.
+// waitedBefore returns the estimated time that the caller has spent on earlier attempts. Unless this node has
+// recently rejected a request, it also learns the caller's timeout as that of a first attempt.
 func (tt *targetTable) waitedBefore(now time.Time, c *Call) time.Duration {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
--- a/internal/gateway/room.go
+++ b/internal/gateway/room.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// waitShare is the part of the objective that a request is expected to wait for a slot at most. The
+	// waitShare is the fraction of the objective that a request may be expected to wait for a slot. The
 	// rest is left for reading the prompt and for the first events.
 	waitShare = 0.6
 )
@@ -16,8 +16,9 @@
 	maxReserve = 0.3
 )
 
-// headroom returns how many requests beyond its slots an upstream may hold for the call. A negative result
-// means that some slots are reserved for more urgent calls.
+// headroom returns how many requests beyond its slots an upstream may hold for the call: at a head, as many
+// as get a slot within waitShare of the objective by the engine's figures, minus the slots reserved for more
+// urgent calls, which may make it negative; at a plain upstream, a fixed number, as far as it is not reserved.
 func (s *Server) headroom(c *Call) float64 {
 	service := s.catalog.Catalog().Service(c.Service)
 	if service == nil {
@@ -59,8 +60,9 @@
 	retryAfterDivisor = 4
 )
 
-// retryAfterWait returns a random retry delay between one and two times the wait after which the call
-// could be sent.
+// retryAfterWait returns the retry delay for a call that was rejected because all upstreams have asked for
+// fewer requests: a random one between one and two times the wait until the first of them accepts a request,
+// within the bound of retryAfterDivisor.
 func (s *Server) retryAfterWait(c *Call, wait time.Duration) time.Duration {
 	wait = max(wait, fullRetryAfter)
 	delay := wait + s.targets.jitter(wait)
@@ -70,8 +72,8 @@
 	return delay
 }
 
-// retryAfter returns the retry delay for a rejected call, spread so that rejected callers don't retry at
-// once.
+// retryAfter returns the retry delay for a rejected call, spread so that rejected callers don't all retry at
+// the same time.
 func (s *Server) retryAfter(c *Call, reason refusal) time.Duration {
 	minDelay, spread := fullRetryAfter, fullRetryAfter
 	switch {
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -45,10 +45,12 @@
 	return tt.load(t), shunned
 }
 
-// load returns the known requests of all nodes at a target.
+// load returns the known requests of all nodes at a target. For a plain upstream it counts only those of this
+// node, since nodes send each other only the loads of groups.
 func (tt *targetTable) load(t *target) int { return t.localInFlight + tt.peerLoads[t.group] }
 
-// partitioned reports whether a failure domain whose nodes have been seen is silent now.
+// partitioned reports whether another failure domain counts as partitioned: states of its nodes have been
+// received, but none for partitionSilence. Its upstreams may be unreachable too.
 func (tt *targetTable) partitioned(now time.Time, domain string) bool {
 	lastSeen, known := tt.domainLastSeen[domain]
 	return known && domain != tt.domain && now.Sub(lastSeen) > tt.partitionSilence
@@ -138,8 +140,9 @@
 	tt.updateDissolving()
 }
 
-// dropExpiredPeers removes the states of nodes that are silent. Without it, a node that is partitioned
-// from all others treats heads as full until the partition heals.
+// dropExpiredPeers removes the states of nodes that are silent. Otherwise they are removed only when a state
+// arrives, and a node that is partitioned from all others would treat heads as full until the partition
+// heals. The caller holds mu.
 func (tt *targetTable) dropExpiredPeers(now time.Time) {
 	if len(tt.peers) > 0 && now.After(tt.peersExpireAt) {
 		tt.aggregatePeers(now)
@@ -147,8 +150,8 @@
 }
 
 const (
-	// sampleNodes is the number of other nodes above which only a few candidates are compared: the known
-	// loads of the others are then seconds old, and all nodes would choose the same head.
+	// sampleNodes is the number of other nodes above which only a few candidates, chosen at random, are
+	// compared: the known loads of the others are then seconds old, and all nodes would choose the same head.
 	sampleNodes = 14
 	// sampleSize is the number of candidates that are then compared, all but one of them in this failure
 	// domain while it has that many. Two already avoid most of the crowding (power of two choices); the
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -9,12 +9,13 @@
 	// deviation, as in TCP's retransmission timer.
 	pauseSmoothing = 0.125
 	// stallDeviations is the number of deviations above the smoothed pause after which the silence of all
-	// streams of a head counts as a stall, between minStall and maxStall. A pass with one long prompt
-	// takes about 100 ms by the engines' figures.
+	// streams of a head counts as a stall, within the bounds that follow.
 	stallDeviations = 5
-	minStall        = 350 * time.Millisecond
-	// stallPauses is the minimum length of a stall in smoothed pauses: heads on a host that is slowed down
-	// pause for that long now and then.
+	// minStall is the minimum length of a stall. A pass with one long prompt takes about 100 ms by the
+	// engines' figures.
+	minStall = 350 * time.Millisecond
+	// stallPauses is the minimum length of a stall in smoothed pauses, up to maxStall: heads on a host that
+	// is slowed down pause for that long now and then.
 	stallPauses = 6
 	// passMargin times the longest pass by the engine's figures is the minimum length of a stall. With
 	// many nodes, each has a stream at only one or two heads and has learned no typical pause: with 350 ms
@@ -24,16 +25,18 @@
 	// samePass is the pause below which two events belong to the same pass of the engine. Only longer
 	// pauses show how long a pass takes.
 	samePass = 8 * time.Millisecond
+	// maxStall is the maximum length of a stall, unless passMargin requires more.
 	maxStall = 900 * time.Millisecond
-	// firstStall is the length of a stall while none of the head's streams has started. A first event
-	// waits for one or two passes and for its prompt, so it may take as long as the longest pause between
-	// events.
+	// firstStall is the minimum length of a stall while none of the head's streams has started. A first
+	// event waits for one or two passes and for its prompt, so it may take as long as the longest pause
+	// between events.
 	firstStall = maxStall
-	// firstFactor times its predicted time is how long a first event may take, up to maxFirstEvent: at a
-	// busy head it waits for a slot.
+	// firstFactor times its predicted time is how long a first event may take if that is more than
+	// firstStall, up to maxFirstEvent: at a busy head it waits for a slot.
 	firstFactor   = 2
 	maxFirstEvent = 2 * time.Second
-	// reportedStall is the length of a stall once another node has reported the head as silent.
+	// reportedStall is the length of a stall once another node has reported the head as silent, unless a pass
+	// can take longer.
 	reportedStall = 250 * time.Millisecond
 	// dissolvingStall is the length of a stall once a director dissolves the group: about one pass.
 	dissolvingStall = 120 * time.Millisecond
@@ -41,7 +44,8 @@
 	suspicionTTL = 1500 * time.Millisecond
 )
 
-// recordEvent records an event of a stream.
+// recordEvent records an event of a stream. It ends the suspicion of the target and resets its failures. A
+// first event trains the prediction of first events, a later one the typical pause.
 func (tt *targetTable) recordEvent(now time.Time, s *send) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -59,8 +63,9 @@
 	t.failures, t.unresponsiveCount = 0, 0
 }
 
-// findLost returns single streams that are silent while their head sends data to others: their responses
-// were probably lost. The caller moves those that can continue elsewhere.
+// findLost returns single streams that have been silent for lostAfter while their head, which is not
+// suspected, sends data to others: their responses were probably lost. The caller moves those that can
+// continue elsewhere; the others are found again at the next check.
 func (tt *targetTable) findLost(now time.Time) []*send {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -81,7 +86,8 @@
 // movable reports whether the send's call may continue elsewhere and is not already about to.
 func (s *send) movable() bool { return !s.lastAttempt && s.reserved == nil }
 
-// findSlow returns the plain calls that take much longer than their objective.
+// findSlow returns the plain calls that take much longer than their objective (see limitAttempt) and may be
+// moved to another upstream.
 func (tt *targetTable) findSlow(now time.Time) []*send {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -99,7 +105,8 @@
 	return out
 }
 
-// findStuck returns the sends at suspected heads that are still silent.
+// findStuck returns the sends at suspected heads that are still silent: those that could not be moved when the
+// stall was found, because there was no slot elsewhere or no credit for a repeat.
 func (tt *targetTable) findStuck(now time.Time) []*send {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -174,7 +181,8 @@
 	sends      []*send
 }
 
-// recordUnreachable adds an unreachable head to the stalls that are reported to other nodes.
+// recordUnreachable adds an unreachable head to the stalls that are reported to other nodes. The caller holds
+// mu.
 func (tt *targetTable) recordUnreachable(now time.Time, t *target) {
 	if t.group == "" {
 		return
@@ -182,8 +190,8 @@
 	tt.recentStalls = append(tt.recentStalls, stall{at: now, group: t.group, vm: t.vm.ID, generation: t.generation, silence: now.Sub(t.lastActivity)})
 }
 
-// findStalls returns the heads that have become silent. The caller moves those of their sends that can
-// continue elsewhere.
+// findStalls returns the heads that have become silent, marks them as suspected, and keeps them for the
+// report to other nodes. The caller moves those of their sends that can continue elsewhere.
 func (tt *targetTable) findStalls(now time.Time) []stall {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -218,7 +226,8 @@
 
 // allHeadsSilent reports whether there are several heads with started streams, all silent for at least
 // half the length of a stall. Simultaneous failures are less likely than a stall of this node, its links
-// or its host. On a busy host, 24 of 24 heads were silent for the same 0.36 s.
+// or its host, so only a silence of maxStall counts then. On a busy host, 24 of 24 heads were silent for the
+// same 0.36 s.
 func (tt *targetTable) allHeadsSilent(now time.Time) bool {
 	heads := 0
 	for _, t := range tt.targets {
@@ -274,8 +283,9 @@
 	return min(max(firstStall, firstFactor*longest), maxFirstEvent)
 }
 
-// applyPeerReport processes another node's report of a silent head: the head gets no requests for a while
-// unless data arrives from it here.
+// applyPeerReport processes another node's report of a silent head. It is ignored if this node has requests
+// there and has recently received data from it. A head without requests of this node gets none for a while;
+// at one with requests, a shorter silence counts as a stall. The caller holds mu.
 func (tt *targetTable) applyPeerReport(now time.Time, group string) {
 	for _, t := range tt.targets {
 		if t.group != group || (t.localInFlight > 0 && now.Sub(t.lastActivity) < t.reportedStallAfter()) {
