--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,7 +11,8 @@
 	"github.com/marbleroad/marbleroad/internal/clock"
 )
 
-// relay passes an upstream's response to the caller. A stream that fails may continue at another upstream.
+// relay passes an upstream's response to the caller. It returns a statusError for a response that is not passed
+// on: an error response that is worth a repeat, or any response but 200 to a stream that has already started.
 func (j *job) relay(resp *http.Response, s *send, sentAt time.Time) error {
 	if j.out != nil && resp.StatusCode == http.StatusOK {
 		return j.relayStream(resp, s)
@@ -22,6 +23,9 @@
 	return j.relayFull(resp, sentAt)
 }
 
+// relayStream passes on the events of a stream. It sends the header with the first event, so that a stream that
+// fails before its first event can still get another response. After an error, the stream may continue at
+// another upstream.
 func (j *job) relayStream(resp *http.Response, s *send) error {
 	j.status = resp.StatusCode
 	events := newEventReader(resp.Body)
@@ -64,7 +68,8 @@
 // so that the request can be repeated if the response is truncated. Typical responses are a few kilobytes.
 const maxBufferedResponse = 1 << 20
 
-// relayFull passes on a response that is not a stream.
+// relayFull passes on a response that is not a stream. One of up to maxBufferedResponse bytes is passed on only
+// when it is complete; a longer one that breaks off later results in errPartialResponse.
 func (j *job) relayFull(resp *http.Response, sentAt time.Time) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
@@ -96,8 +101,8 @@
 	return nil
 }
 
-// shouldRepeat reports whether to repeat the request after an error response instead of passing the
-// response on.
+// shouldRepeat reports whether to repeat the request after an error response instead of passing the response
+// on. The time left until the deadline must exceed the objective, so that the next attempt can complete.
 func (j *job) shouldRepeat() bool {
 	return j.c.Route.Repeatable() && j.mayHaveRun-j.terminated < j.c.Route.Attempts && clock.Until(j.c.Deadline) > j.c.Route.Objective
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -23,6 +23,7 @@
 type refusal uint8
 
 const (
+	// admitted means that an upstream was chosen.
 	admitted refusal = iota
 	// noUpstream means that no upstream serves the request at the moment.
 	noUpstream
@@ -41,11 +42,14 @@
 	codeTooLarge       = "too-large"
 	codeBadBody        = "bad-body"
 	codeSlowBody       = "slow-body"
-	codeNoUpstream     = "no-upstream"
-	codeOverload       = "overload"
-	codeThrottled      = "upstreams-limited"
 	codeTimeout        = "timeout"
-	codeAborted        = "aborted"
+	// codeNoUpstream, codeOverload and codeThrottled reject a call for which no upstream was chosen, for the
+	// reasons noUpstream, allFull and allThrottled.
+	codeNoUpstream = "no-upstream"
+	codeOverload   = "overload"
+	codeThrottled  = "upstreams-limited"
+	// codeAborted means that a stream failed after the caller had received a part of it.
+	codeAborted = "aborted"
 	// codeStopping rejects a call that the shutdown of this node would interrupt.
 	codeStopping = "stopping"
 	// codeCallerLeft means that the caller closed its connection.
@@ -58,7 +62,8 @@
 	codeUpstreamFailed = "upstream-failed"
 )
 
-// job handles one call until it is finished, over all its attempts. It is used by one goroutine only.
+// job handles one call until it is finished, over all its attempts. It is used by the goroutine of the request
+// only; the target table shares tried.
 type job struct {
 	s *Server
 	c *Call
@@ -67,6 +72,8 @@
 	// out writes the stream to the caller; nil for plain calls.
 	out *streamOut
 
+	// tried holds the keys of the targets that the call was sent to or has a reserved slot at. The lock of the
+	// target table guards it.
 	tried map[string]bool
 	// sends counts the attempts that were sent, and mayHaveRun those that an upstream may have run.
 	// terminated counts those of the latter whose upstream terminated meanwhile; they don't count against
@@ -103,11 +110,11 @@
 	// upstreams refuse a request before running it.
 	extraRefusedSends = 1
 	// startedStreamHeadroom is the load beyond its slots that an upstream accepts for a stream that has
-	// already started. Such a stream is never dropped for lack of capacity.
+	// already started. It exceeds any load, since such a stream is never dropped for lack of capacity.
 	startedStreamHeadroom = 1 << 20
-	// maxTerminations is the number of upstreams that may terminate under one call before it is no longer
-	// repeated. It is the number at which a request is quarantined at the latest, so that a call which
-	// only shared VMs with such a request survives it.
+	// maxTerminations is the number of upstreams that may terminate under one call while it is still
+	// repeated. A request that crashes its upstreams is quarantined after at most as many terminations, so a
+	// call that only shared VMs with such a request outlasts it.
 	maxTerminations = 4
 )
 
@@ -133,7 +140,8 @@
 	}
 }
 
-// mayRepeat returns nil if the call may be sent again, and its final error otherwise.
+// mayRepeat returns nil if the call may be sent again after the failure, and its final error otherwise. It
+// takes the credit for the repeat from the budget, unless the reservation of a slot has already done so.
 func (j *job) mayRepeat(ctx context.Context, failure *verdict.Error) *verdict.Error {
 	now := clock.Now()
 	switch {
@@ -162,7 +170,8 @@
 	return nil
 }
 
-// releaseReservation frees the slot that was reserved for the call.
+// releaseReservation frees the slot that was reserved for the call, if any. It must be called when the call
+// ends without using the slot.
 func (j *job) releaseReservation() {
 	if j.reserved != nil {
 		j.s.targets.finish(j.reserved.send)
@@ -187,7 +196,8 @@
 		Detail: "the caller closed its connection"}
 }
 
-// timeoutError returns the error of a call whose deadline has passed or whose caller has left.
+// timeoutError returns the error of a call whose context has ended: its deadline has passed, its caller has
+// left, or a shutdown has canceled it.
 func (j *job) timeoutError(ctx context.Context) *verdict.Error {
 	v := verdict.NotRun
 	if j.mayHaveRun > 0 {
@@ -197,8 +207,9 @@
 		Detail: "the time for the request is up", Cause: context.Cause(ctx)}
 }
 
-// finalError converts the failure of an attempt to the result of the whole call. The call counts as not
-// run only if no attempt may have run.
+// finalError converts the failure of an attempt to the result of the whole call. The call counts as not run
+// only if no attempt may have run, and only then may its status be 503. It counts as aborted if the caller has
+// received a part of a stream.
 func (j *job) finalError(failure *verdict.Error) *verdict.Error {
 	if j.out != nil && j.out.started {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: codeAborted, Detail: failure.Detail, Cause: failure}
@@ -215,7 +226,8 @@
 	return failure
 }
 
-// attempt sends the call to one upstream and relays its response.
+// attempt sends the call to one upstream and relays its response. It returns nil if the caller has received
+// the response, and otherwise the failure, after which the call may be repeated.
 func (j *job) attempt(ctx context.Context) *verdict.Error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -254,7 +266,7 @@
 }
 
 // headroom returns how many requests beyond its slots an upstream may hold for this call: the number of
-// slots that become free within a part of the objective.
+// slots that become free within a part of the objective, or any number for a stream that has already started.
 func (j *job) headroom() float64 {
 	if j.out != nil && j.out.started {
 		return startedStreamHeadroom
@@ -331,7 +343,10 @@
 	return failure
 }
 
-// handleFailure handles an attempt that got no response.
+// handleFailure handles an attempt that got no usable response, or was refused. It takes over the slot that
+// was reserved for the call and checks whether the upstream terminated. It records a failure of the upstream
+// unless the upstream refused the request, the caller left, the request was quarantined, or this process was
+// stalled meanwhile and the connection did not break.
 func (j *job) handleFailure(ctx context.Context, s *send, failure *verdict.Error) *verdict.Error {
 	if failure.Verdict != verdict.NotRun {
 		j.mayHaveRun++
@@ -379,6 +394,7 @@
 	}
 	j.logFailedAttempt(s, failure, cause)
 	if failure.Code == codeUpstreamFailed {
+		// An upstream that responds with an error status has not terminated under the request.
 		j.recordCompletion()
 		return failure
 	}
@@ -386,8 +402,8 @@
 	return failure
 }
 
-// recordFailure records a failed attempt, which may eject the upstream. reached is false if no byte
-// of the request reached the upstream; if that is the head of a group, it is then reported as suspect.
+// recordFailure records a failed attempt, which may eject the upstream. reached is false if no byte of the
+// request reached the upstream; a head is then reported as suspect to the director and the other nodes.
 func (j *job) recordFailure(s *send, reached bool) {
 	if j.s.targets.recordFailure(clock.Now(), s, reached) {
 		j.s.log.Emit(event.UpstreamEjected).Str("vm", s.vm.ID).Str("group", s.target.group).Str("request", j.c.ID).Bool("reached", reached).Send()
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -17,8 +17,8 @@
 // maxLoggedCandidates is the number of candidates listed in a log line.
 const maxLoggedCandidates = 4
 
-// describe formats the candidates with the lowest scores, their predicted first events, and the forecast
-// by which requests were divided among them.
+// describe formats, for the log and error details, the candidates with the lowest scores, their predicted times
+// to the first event, the number of throttled upstreams, and the forecast by which requests were divided.
 func describe(evaluation evaluation) string {
 	sorted := append([]scoredTarget(nil), evaluation.scored...)
 	sort.Slice(sorted, func(i, k int) bool { return sorted[i].score < sorted[k].score })
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -30,7 +30,8 @@
 	// Header is the caller's header. It must not be modified.
 	Header http.Header
 	Body   []byte
-	Key    string
+	// Key is the caller's key, by which its team is found; empty if the caller sent none.
+	Key string
 	// CallerTimeout is the caller's timeout; zero if the caller sent none.
 	CallerTimeout time.Duration
 	// Model is the requested model; empty for plain services.
@@ -49,6 +50,7 @@
 	Deadline time.Time
 	Route    *catalog.Route
 	Team     string
+	// Priority is that of the team if it has one, and that of the route otherwise; 0 is the highest.
 	Priority int
 	Service  string
 	// Waited is the estimated time that the caller has spent on earlier attempts.
@@ -85,7 +87,8 @@
 
 // CallerDialect is the protocol between callers and the gateway.
 type CallerDialect interface {
-	// Read decodes the head of a request and leaves the body unread. An error is the final response.
+	// Read decodes the head of a request and leaves the body unread. It returns a call also with an error,
+	// which is sent to the caller as the final response.
 	Read(r *http.Request) (*Call, *verdict.Error)
 	// Refuse sends an error of the gateway to the caller.
 	Refuse(w http.ResponseWriter, requestID string, e *verdict.Error)
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -18,7 +18,8 @@
 type crasher struct {
 	site *testSite
 	// path marks the requests.
-	path    string
+	path string
+	// crashed holds the IDs of the terminated VMs, crashes is their number.
 	crashed sync.Map
 	crashes atomic.Int64
 }
@@ -73,10 +74,10 @@
 
 // TestCrashingRequestIsQuarantined: a request crashed each head that ran it. Its caller sent it again and
 // again, each time as a new request to any node, and each time it went to as many heads as its route
-// allows attempts. 31 heads terminated under it, until the model had none left. No state about the request
-// outlived a call, and the streams that were interrupted with it moved to the remaining heads and were
-// interrupted again. The fingerprint shows that it is the same request, and the closed port that the VM
-// has terminated.
+// allows attempts. 31 heads terminated under it, until the model had none left: no state about the request
+// outlived a call. The streams that were interrupted with it moved to the remaining heads and were
+// interrupted again. The request must be recognized by its fingerprint, and the termination of a VM by its
+// closed port.
 //
 //	41.12 5008 request=0d7cb18b7b3880ed send=1 group=gb83gae9e-10 upstream-broken
 //	41.38 5008 request=0d7cb18b7b3880ed send=2 group=gasyoucrn-24 upstream-broken
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -13,8 +13,8 @@
 	"github.com/marbleroad/marbleroad/internal/fleet"
 )
 
-// portCheckTTL is how long the result of a port check is reused. The streams of a terminating VM break
-// within some milliseconds, while a restart takes seconds.
+// portCheckTTL is how long the result of a port check is reused, so that the streams of a terminating VM share
+// one check. They break within some milliseconds, while a restart takes seconds.
 const portCheckTTL = 40 * time.Millisecond
 
 // portChecker finds out whether an upstream VM has terminated. A truncated response does not show that:
@@ -22,15 +22,17 @@
 type portChecker struct {
 	dialer *net.Dialer
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// checks holds the latest check of each address.
 	checks map[string]*portCheck
 }
 
 // portCheck is one attempt to connect to a VM.
 type portCheck struct {
 	startedAt time.Time
-	done      chan struct{}
-	closed    bool
+	// done is closed when the check has finished; closed is valid only then.
+	done   chan struct{}
+	closed bool
 }
 
 func newPortChecker(dialer *net.Dialer) *portChecker {
@@ -55,7 +57,8 @@
 	}
 }
 
-// check returns the latest check of an address. first is true if the caller must perform it.
+// check returns the check of an address that started within portCheckTTL, or else a new one. first is true for
+// a new one, which the caller must perform. check also removes older checks.
 func (pc *portChecker) check(now time.Time, address string) (c *portCheck, first bool) {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -21,7 +21,7 @@
 //	5009 request served              request=smuggled-b status=200
 func TestAmbiguousLengthIsRefused(t *testing.T) {
 	const hidden = "POST /public/hidden HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: hidden\r\nContent-Length: 0\r\n\r\n"
-	// last closes the connection if it is still read.
+	// last makes the gateway close the connection if it reads that far, so that the test does not wait for more.
 	const last = "GET /public/last HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: l\r\nConnection: close\r\n\r\n"
 	const chunked = "POST /public/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	both := strings.Replace(chunked, "Transfer-Encoding", "content-LENGTH: 5\r\nTransfer-Encoding", 1)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,6 +17,7 @@
 )
 
 const (
+	// streamEvents is the number of events of a complete stream.
 	streamEvents = 6
 	// waitLimit is the timeout of every wait in a test.
 	waitLimit = 20 * time.Second
@@ -72,13 +73,13 @@
 	}
 }
 
-// TestStreamContinuesAtAnotherHead: a stream that is truncated within an event, or stalls, continues at
-// another head within the same response.
+// TestStreamContinuesAtAnotherHead: a stream that is truncated within an event, stalls, or carries the ID of
+// another request continues at another head within the same response.
 func TestStreamContinuesAtAnotherHead(t *testing.T) {
 	for name, fault := range map[string]func(*groupengine.VM){
-		"cut":        func(vm *groupengine.VM) { vm.TruncateAfter.Store(3) },
+		"truncated":  func(vm *groupengine.VM) { vm.TruncateAfter.Store(3) },
 		"stalled":    func(vm *groupengine.VM) { vm.StallAfter.Store(3) },
-		"foreign ID": func(vm *groupengine.VM) { vm.WrongAttemptID.Store(true) },
+		"mismatched": func(vm *groupengine.VM) { vm.WrongAttemptID.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestSite(t, options{})
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -18,7 +18,7 @@
 	"github.com/marbleroad/marbleroad/internal/verdict"
 )
 
-// handle processes one request of a caller.
+// handle processes one request of a caller. Whichever step fails, finish sends the error response.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	clock.Sync()
 	arrived := clock.Now()
@@ -26,6 +26,7 @@
 	c, failure := s.callerDialect.Read(r)
 	c.Arrived = arrived
 	var j *job
+	// checkFraming must run also for a call that can't be read: it closes the connection where needed.
 	if ambiguous := checkFraming(w, r); failure == nil {
 		failure = ambiguous
 	}
@@ -49,7 +50,8 @@
 	}
 }
 
-// route determines the call's route, team and service.
+// route determines the call's route, team, priority, service and deadline. It returns an error for a call that
+// this node does not accept.
 func (s *Server) route(c *Call) *verdict.Error {
 	current := s.catalog.Catalog()
 	if current == nil {
@@ -73,8 +75,9 @@
 	return s.rejectIfStopping(c)
 }
 
-// authenticate finds the team that holds the call's key. Keys are accepted only while the catalog was
-// recently verified to be the newest.
+// authenticate sets the call's team to the one that holds its key, and its priority to that of the team, if
+// set. Keys are accepted only while the catalog was verified to be the newest within RevokeBound, since a newer
+// one may have revoked them. Public routes, and catalogs without keys, need no key.
 func (s *Server) authenticate(c *Call, current *catalog.Catalog) *verdict.Error {
 	if c.Route.Public || !current.KeysRequired() {
 		return nil
@@ -94,7 +97,8 @@
 	return nil
 }
 
-// readBody reads the complete body, so that the request can be sent more than once.
+// readBody reads the complete body, so that the request can be sent more than once. It also rejects a header
+// or a body that is larger than the configuration allows.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *Call) *verdict.Error {
 	limits := s.catalog.Catalog().Limits()
 	if limits.MaxHeaderBytes > 0 && headerBytes(r) > limits.MaxHeaderBytes {
@@ -144,7 +148,7 @@
 
 // headerBytes returns the approximate size of the request line and the header on the wire.
 func headerBytes(r *http.Request) int {
-	const separators = 4
+	const separators = 4 // the colon, the space and the line break of a field
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -158,10 +162,12 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusRequestEntityTooLarge, Code: codeTooLarge, Detail: "the body is larger than the configuration allows"}
 }
 
-// run sends the call until the caller has its response or no further attempt is allowed.
+// run sends the call until the caller has its response or no further attempt is allowed. It returns the job
+// also with an error, for the log.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, c *Call) (*job, *verdict.Error) {
 	if s.targets.recordRequest(c.Arrived, c) {
-		// Directors may start any number of loads until the first request arrives.
+		// Directors may start any number of loads until a node receives the first request, so the other
+		// nodes must learn of it at once.
 		s.parts.TriggerExchange()
 	}
 	c.Waited = s.targets.waitedBefore(c.Arrived, c)
@@ -188,7 +194,9 @@
 	return errors.Is(r.Context().Err(), context.Canceled) && failure.Code != codeSlowBody
 }
 
-// finish logs the outcome and sends an error response if the call failed before the caller received one.
+// finish logs the outcome and sends an error response if the call failed before the caller received one. j is
+// nil if the call failed before it was run. finish panics with http.ErrAbortHandler, which closes the
+// connection, if the caller has left or has received a part of a stream.
 func (s *Server) finish(w http.ResponseWriter, r *http.Request, c *Call, j *job, failure *verdict.Error) {
 	elapsed := clock.Since(c.Arrived)
 	name := ""
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -7,20 +7,23 @@
 	"github.com/marbleroad/marbleroad/internal/retry"
 )
 
-// reservation is a slot that is reserved for a call before its current send is canceled, with the credit
-// for the repeat.
+// reservation is a slot at another target that is reserved for a call before its current send is canceled. The
+// credit for the repeat has been taken. The slot must be used by startReserved or freed.
 //
 // A send that is silent or slow may still complete: with six heads silent for 0.6 s and the budget used
 // up, every stream that was canceled without a slot elsewhere was lost for its caller. A send is therefore
 // canceled only if its call can continue elsewhere.
 type reservation struct {
+	// send is the next send of the call. It is counted at its target already, but has not started.
 	send       *send
 	evaluation evaluation
 	repeatUse  retry.Decision
 }
 
-// reserve reserves a slot at another target for the send's call. It returns false if there is none or no
-// repeat is allowed. nodes is the number of nodes that share the budget.
+// reserve reserves a slot at another target for the send's call, and stores it with the send. If it returns
+// true, the caller must cancel the send, whose call then continues in that slot. It returns false if the send
+// has finished or can't be moved, if no slot is free, or if the budget allows no repeat. nodes is the number
+// of nodes that share the budget.
 func (tt *targetTable) reserve(now time.Time, s *send, nodes int) bool {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -53,10 +56,11 @@
 	s.slowAt = at
 }
 
-// noCancel is the cancel function of a send that has not started.
+// noCancel is the cancel function of a reserved send until startReserved sets the real one.
 func noCancel(error) {}
 
-// takeReservation removes and returns the reservation of the send's call; nil without one.
+// takeReservation removes the reservation from the send and returns it; nil without one. The caller must then
+// use it or free its slot.
 func (tt *targetTable) takeReservation(s *send) *reservation {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -65,7 +69,7 @@
 	return reserved
 }
 
-// startReserved starts the send of a reservation.
+// startReserved starts the send of a reservation. Its time at the target counts from now on.
 func (tt *targetTable) startReserved(now time.Time, reserved *reservation, lastAttempt bool, cancel context.CancelCauseFunc) *send {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -38,11 +38,12 @@
 	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 30 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// stallInterval is the time between two checks for silent heads.
+	// stallInterval is the time between two runs of checkSends.
 	stallInterval = 50 * time.Millisecond
-	// connectTimeout limits a new connection to an upstream, which takes 2 to 5 ms.
+	// connectTimeout limits the setup of a connection to an upstream, which takes 2 to 5 ms.
 	connectTimeout = 120 * time.Millisecond
-	// closeLimit limits the cleanup of a shutdown after the last response.
+	// closeLimit is how long a shutdown waits for the requests that it has canceled, before it closes their
+	// connections.
 	closeLimit = 300 * time.Millisecond
 )
 
@@ -62,10 +63,11 @@
 	// Linger is how long a shutdown then keeps idle connections open, since their callers may not have
 	// noticed it yet.
 	Linger time.Duration
-	// RevokeBound is the maximum time since the catalog was last verified to be the newest for keys to be
-	// accepted; zero for no limit.
+	// RevokeBound limits how long a revoked key is still accepted: while the catalog was last verified to be
+	// the newest longer ago than this, no keys are accepted. Zero means no limit.
 	RevokeBound time.Duration
-	Repeats     retry.Limit
+	// Repeats is the budget for repeated sends of requests, over all nodes together.
+	Repeats retry.Limit
 }
 
 // Parts holds the dependencies of the gateway.
@@ -81,16 +83,17 @@
 	Nodes func() int
 	// StateTTL returns how long the state of another node is valid.
 	StateTTL func() time.Duration
-	// Suspect is called with heads that are silent or unreachable.
+	// Suspect reports a group to this node's director because its head is silent, unreachable or terminated,
+	// as observed by this node or another.
 	Suspect func(group string, generation uint64)
-	// Dissolving returns the groups that this node is dissolving.
+	// Dissolving returns the groups that this node's director is dissolving.
 	Dissolving func() []string
 	// Sharing returns the nodes with which this node shares the capacity of limited upstream VMs in a
 	// failure domain; nil for a node without peers.
 	Sharing func(domain string) backpressure.Sharing
-	// StepDown is called when a shutdown starts.
+	// StepDown is called when a shutdown starts, so that other nodes take over the management of groups.
 	StepDown func()
-	// TriggerExchange triggers an immediate exchange of this node's state.
+	// TriggerExchange triggers an immediate exchange of this node's state with other nodes.
 	TriggerExchange func()
 	// Quarantine tracks the requests under which upstreams terminated; if nil, the gateway creates a
 	// table.
@@ -112,9 +115,10 @@
 	pending         pendingTerminations
 	targets         *targetTable
 
+	// stopping is true from the start of a shutdown.
 	stopping atomic.Bool
-	// stopDeadline is when a shutdown cancels the requests still in progress. It is set when the server
-	// stops accepting connections; nil before.
+	// stopDeadline is when a shutdown cancels the requests still in progress. It is nil until BalancerDelay
+	// after the start of the shutdown, when the server stops accepting connections.
 	stopDeadline atomic.Pointer[time.Time]
 	durations    routeDurations
 	// workCtx is canceled by cancelWork at the end of a shutdown, which cancels all requests in progress.
@@ -129,7 +133,8 @@
 	statsPublishedAt time.Time
 }
 
-// NewServer returns a server.
+// NewServer returns a server that Start starts. The caller must call Rebuild after each change of the catalog
+// or the fleet. NewServer registers callbacks at p.Quarantine, so that table must not be in use yet.
 func NewServer(c Config, p Parts) *Server {
 	workCtx, cancelWork := context.WithCancel(context.Background())
 	if p.Quarantine == nil {
@@ -153,7 +158,7 @@
 	if p.Sharing != nil {
 		s.targets.sharing = s.sharing
 	}
-	p.Quarantine.OnQuarantine(s.quarantined)
+	p.Quarantine.OnQuarantine(s.cancelQuarantined)
 	p.Quarantine.OnConfirmed(p.TriggerExchange)
 	return s
 }
@@ -214,7 +219,8 @@
 	}
 }
 
-// callerLimits returns the time limits for callers in the current configuration; none before the first.
+// callerLimits returns the time limits for callers in the current configuration. Before the first
+// configuration it returns none, and only readHeaderTimeout and idleTimeout apply.
 func (s *Server) callerLimits() callers.Limits {
 	current := s.catalog.Catalog()
 	if current == nil {
@@ -256,7 +262,8 @@
 	return true, ""
 }
 
-// KeysVerified reports whether callers' keys can be checked against the current configuration.
+// KeysVerified reports whether callers' keys can be checked: the configuration must have been verified to be
+// the newest within RevokeBound. It is a requirement for the startup of a node.
 func (s *Server) KeysVerified() bool {
 	if s.catalog.Catalog() == nil {
 		return false
@@ -265,7 +272,7 @@
 }
 
 // HasGroups reports whether each model of the configuration has a group that accepts requests. It is true
-// if there are no models.
+// if there are no models. It is a requirement for the startup of a node.
 func (s *Server) HasGroups() bool {
 	if s.catalog.Catalog() == nil || s.parts.Directory.Snapshot() == nil {
 		return false
@@ -278,6 +285,7 @@
 	return true
 }
 
+// handleReady answers the load balancer, and updates the metric of the catalog's age with each request.
 func (s *Server) handleReady(w http.ResponseWriter, r *http.Request) {
 	s.metrics.Set("catalog.age_ms", s.catalog.VerifiedAge(clock.Now()).Milliseconds())
 	if r.URL.Path != s.config.ReadyPath {
@@ -291,9 +299,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Stop implements kernel.Service. It first withdraws readiness and continues to serve while the load
-// balancer may still send callers. Then it closes the listener and completes the requests that were read,
-// within the limit.
+// Stop implements kernel.Service. It first withdraws readiness and continues to serve for BalancerDelay,
+// while the load balancer may still send callers. Then it closes the listener and completes the requests
+// that were read, for at most ShutdownLimit, and cancels those that are still in progress after that.
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.parts.StepDown()
@@ -319,7 +327,8 @@
 	return err
 }
 
-// Rebuild applies the current catalog and fleet.
+// Rebuild applies the current catalog and fleet to the targets. It must be called after each change of either,
+// and does nothing until both have been read.
 func (s *Server) Rebuild() {
 	c, f := s.catalog.Catalog(), s.parts.Directory.Snapshot()
 	if c == nil || f == nil {
@@ -332,7 +341,8 @@
 	}
 }
 
-// ReceiveState processes the state of another node, or a hub's aggregate of many, received at the given time.
+// ReceiveState processes the state of another node, or a hub's aggregate of many, received at the given time:
+// its loads, demand, conditions of VMs and suspected groups, which it passes on to this node's director.
 func (s *Server) ReceiveState(state *marbleroadv1.NodeState, receivedAt time.Time) {
 	s.targets.receiveState(clock.Now(), state, receivedAt, s.parts.StateTTL())
 	s.receiveConditions(state, receivedAt)
@@ -348,18 +358,19 @@
 }
 
 // ModelWork returns the demand for each model of the service over all nodes, as the number of groups that
-// it keeps busy; nil while there have been too few requests.
+// it keeps busy. It is nil while there have been too few requests; placement then uses the configured shares.
 func (s *Server) ModelWork(service string) map[string]float64 {
 	return s.targets.modelWork(clock.Now(), service)
 }
 
-// TrafficSeen reports whether any node has received a request for a model.
+// TrafficSeen reports whether any node has received a request for a model. Until then directors may start any
+// number of loads.
 func (s *Server) TrafficSeen() bool { return s.targets.trafficSeen() }
 
 func (s *Server) nodes() int { return s.parts.Nodes() }
 
-// sharing returns the nodes that share the capacity of limited VMs in a failure domain. A stopping node
-// leaves its share to the others.
+// sharing returns the nodes that share the capacity of limited VMs in a failure domain. It returns the zero
+// value for a stopping node, which leaves its share to the others.
 func (s *Server) sharing(domain string) backpressure.Sharing {
 	if s.stopping.Load() {
 		return backpressure.Sharing{}
@@ -367,7 +378,8 @@
 	return s.parts.Sharing(domain)
 }
 
-// watchStalls periodically checks for silent heads and slow sends.
+// watchStalls runs checkSends every stallInterval until the end of a shutdown. It also logs when the VM of
+// this process was suspended.
 func (s *Server) watchStalls() {
 	defer s.background.Done()
 	ticker := time.NewTicker(stallInterval)
@@ -417,8 +429,8 @@
 	}
 }
 
-// moveAll cancels the sends whose calls can continue elsewhere and returns their number. The others keep
-// waiting for their upstreams.
+// moveAll reserves a slot at another target for the call of each send, and cancels with the given cause the
+// sends for which that succeeded. It returns their number. The others keep waiting for their upstreams.
 func (s *Server) moveAll(now time.Time, sends []*send, cause error) int {
 	moved := 0
 	for _, sent := range sends {
@@ -430,7 +442,7 @@
 	return moved
 }
 
-// notReadyError returns the error before the first configuration is read.
+// notReadyError returns the error of a call that arrives before the first configuration is read.
 func (s *Server) notReadyError() *verdict.Error {
 	return &verdict.Error{
 		Verdict:    verdict.NotRun,
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -11,13 +11,15 @@
 	"time"
 )
 
-// caller is a connection to a gateway.
+// caller is a caller's connection to a gateway, on which a test writes the bytes of its requests.
 type caller struct {
 	t *testing.T
 	net.Conn
 	responses *bufio.Reader
 }
 
+// dialCaller connects to the gateway's own server for callers, which a shutdown stops. The test server behind
+// s.url is a separate one.
 func dialCaller(t *testing.T, s *testSite) *caller {
 	t.Helper()
 	c, err := net.Dial("tcp", s.listen)
@@ -52,6 +54,7 @@
 	return resp.StatusCode, resp.Close
 }
 
+// requestStart, with a target, and requestRest together are a complete request, split within its header.
 const (
 	requestStart = "POST %s HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: r1\r\nApi-Key: key\r\n"
 	requestRest  = "Deadline-Ms: 8000\r\nModel: m\r\nContent-Length: 0\r\n\r\n"
@@ -76,8 +79,8 @@
 // TestRequestsReadDuringStopAreAnswered: nodes that were shut down read complete requests and closed the
 // connections without a response. The Shutdown method of net/http drops a request that a connection has
 // just read, and closes connections that look idle while a request is arriving. On two days of planned
-// maintenance, 12 and 13 of the unanswered attempts were such requests. Nothing logged them until this
-// event was added:
+// maintenance, 12 and 13 of the unanswered attempts were such requests. Each must be answered; one that is not
+// is logged as:
 //
 //	5017 a connection ended with a request that was read and not handled stopping=true
 func TestRequestsReadDuringStopAreAnswered(t *testing.T) {
@@ -93,6 +96,7 @@
 			s := newTestSite(t, options{linger: waitLimit})
 			conn := dialCaller(t, s)
 			conn.write(c.before)
+			// A complete request before the stop gets its response first.
 			if c.before == c.after || c.before == partial+requestRest {
 				if status, closes := conn.readResponse(); status != http.StatusOK || closes {
 					t.Fatalf("before the stop: %d, closes %t", status, closes)
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -14,12 +14,13 @@
 	// duration that a call typically takes at most.
 	durationSmoothing  = 0.125
 	durationDeviations = 4
-	// stoppingRetryAfter is the minimum retry delay of a stopping node. Another node can take the request
-	// at once, but retries are spread.
+	// stoppingRetryAfter is the minimum retry delay of a stopping node, and the range over which retries are
+	// spread. It is short because another node can take the request at once.
 	stoppingRetryAfter = 50 * time.Millisecond
 )
 
-// routeDurations learns how long calls take, by route. It is safe for concurrent use.
+// routeDurations learns how long calls take, by route, so that a stopping node can reject those that would
+// take too long. It is safe for concurrent use.
 type routeDurations struct {
 	mu     sync.Mutex
 	routes map[string]*durationEstimate
@@ -28,7 +29,7 @@
 // durationEstimate is the smoothed duration of a route's calls.
 type durationEstimate struct{ mean, deviation time.Duration }
 
-// record adds the duration of a successful call.
+// record adds the duration of a successful call. Routes beyond the first maxMeters are ignored.
 func (d *routeDurations) record(route string, elapsed time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,9 +67,9 @@
 	return deadline.After(stopDeadline) && (!known || typical > left)
 }
 
-// rejectIfStopping rejects a call that the current shutdown would interrupt. Connections of callers stay
-// open for a while during a shutdown, and requests that arrive in its last seconds can still be served by
-// another node.
+// rejectIfStopping rejects a call that the current shutdown would interrupt, so that another node can serve it.
+// Such calls arrive because the connections of callers stay open for a while during a shutdown. No call is
+// rejected before the server stops accepting connections.
 func (s *Server) rejectIfStopping(c *Call) *verdict.Error {
 	stopDeadline := s.stopDeadline.Load()
 	if stopDeadline == nil {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -25,11 +25,11 @@
 	errLostResponse = errors.New("the answer fell silent while its head went on")
 	// errQuarantined cancels the sends of a request that has been quarantined.
 	errQuarantined = errors.New("too many upstreams ended under the request")
-	// errEventOrder means that the IDs of a stream's events are not consecutive.
+	// errEventOrder means that a stream skips events, by the IDs of its events.
 	errEventOrder = errors.New("stream events out of order")
 )
 
-// maxEventBytes limits the size of an event.
+// maxEventBytes limits the size of an event, which is buffered until it is complete.
 const maxEventBytes = 1 << 20
 
 // eventReader splits the body of a stream into events without changing their bytes.
@@ -90,7 +90,8 @@
 	started bool
 	// lastEventID is the ID of the last event that the caller has.
 	lastEventID string
-	events      int
+	// events is the number of events with an ID that were passed on.
+	events int
 }
 
 // start sends the first upstream's status and header.
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -14,15 +14,19 @@
 	"github.com/marbleroad/marbleroad/internal/verdict"
 )
 
+// A suspect is a request under which at least two upstreams have terminated, so that it may be the cause.
 const (
-	// separationPenalty keeps suspects apart, in passes of a full batch: a request under which an upstream
-	// terminated avoids targets with a suspect, which is a request under which two terminated.
+	// The penalties are added to the scores of targets, in passes of a full batch.
+	//
+	// separationPenalty keeps suspects apart: a request under which at least one upstream terminated avoids
+	// targets with a suspect.
 	separationPenalty = 3
-	// besideSuspectPenalty keeps all other requests away from a head with a suspect, which may terminate
-	// the head under them.
+	// besideSuspectPenalty keeps all other requests away from targets with a suspect, which may terminate
+	// the upstream under them.
 	besideSuspectPenalty = 1
-	// spreadPenalty spreads the requests under which one upstream terminated: if all that were interrupted
-	// at a head went to the same next head, they would all become suspects together.
+	// spreadPenalty spreads the requests under which at least one upstream terminated. It counts once for
+	// each of them at a target: if all that were interrupted at a head went to the same next head, they
+	// would all become suspects together.
 	spreadPenalty = 0.3
 	// terminatedEjection is how long a VM with a closed port is ejected. The platform removes its entry
 	// after some 4 s, and a restarted VM is another incarnation.
@@ -30,20 +34,21 @@
 	// trialRetryAfter is the retry delay for a suspect that is being tried: its response, or the
 	// termination of its upstream, takes about a second.
 	trialRetryAfter = time.Second
-	// recheckDelay is the delay before the port of a VM with a truncated response is checked again. After
-	// a check with a delay of at least maxRecheckDelay there is no further one. A dying process closes its
-	// connections and its port within some milliseconds, in any order.
+	// recheckDelay is the delay before the port of a VM with a truncated response is checked again. Each
+	// further delay is four times as long; the first of at least maxRecheckDelay is the last, which makes
+	// two rechecks, after 60 and 240 ms. A dying process closes its connections and its port within some
+	// milliseconds, in any order.
 	recheckDelay    = 60 * time.Millisecond
 	maxRecheckDelay = 200 * time.Millisecond
 	// pendingTerminationTTL is how long the termination of a silent VM can be confirmed, by a new
 	// incarnation or by its removal from the platform's list. It is longer than three heartbeats.
 	pendingTerminationTTL = 6 * time.Second
-	// maxPendingTerminations limits the number of requests that are remembered for such VMs.
+	// maxPendingTerminations limits the number of sends that pendingTerminations remembers.
 	maxPendingTerminations = 1024
 )
 
-// trackQuarantine updates the counts of requests with terminations when a send starts (1) or finishes
-// (-1).
+// trackQuarantine adds delta to the target's counts of suspects and of requests under which an upstream has
+// terminated, if the send is one: 1 when it starts, -1 when it finishes.
 func (t *target) trackQuarantine(s *send, delta int) {
 	if s.quarantineVerdict.Terminations > 0 {
 		t.withTermination += delta
@@ -53,9 +58,9 @@
 	}
 }
 
-// quarantinePenalty returns the penalty for a request with the given verdict due to the other requests at
-// the target. When requests that crash their VMs run among many that don't, the third VM that terminates
-// identifies the cause only if no other suspect was there.
+// quarantinePenalty returns the penalty of the target for a request with the given verdict, due to the other
+// requests at the target. It keeps suspects apart: a request is quarantined when a third or later VM
+// terminates under it, but only if no other suspect was at that VM. The caller holds mu.
 func (tt *targetTable) quarantinePenalty(t *target, quarantineVerdict quarantine.Verdict) float64 {
 	suspects := t.suspects + tt.peerSuspects[t.group]
 	penalty := 0.0
@@ -72,8 +77,9 @@
 	return penalty
 }
 
-// markSharedTargets marks the suspects that are at a target at the same time. It must be called before the
-// send is counted.
+// markSharedTargets marks the send, and the other suspects at its target, as sharing the target if the send is a
+// suspect too: a termination there does not show which of them caused it. It must be called before the send is
+// added to its target. The caller holds mu.
 func (tt *targetTable) markSharedTargets(s *send) {
 	if !s.quarantineVerdict.Suspected() {
 		return
@@ -86,15 +92,16 @@
 	}
 }
 
-// onlySuspect reports whether no other suspect was at the send's target.
+// onlySuspect reports whether no other suspect is known to have been at the target together with the send.
 func (tt *targetTable) onlySuspect(s *send) bool {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
 	return !s.sharedWithSuspect
 }
 
-// ejectTerminated ejects a VM whose port is closed, and reports it to other nodes if it is a head. It does
-// nothing if more than half of terminatedEjection is left of an earlier ejection.
+// ejectTerminated ejects the send's VM, whose port is closed, and reports it to other nodes if it is a head. It
+// is called for each send that the termination interrupted, so it does nothing if the VM is already ejected
+// for more than half of terminatedEjection.
 func (tt *targetTable) ejectTerminated(now time.Time, s *send) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -105,7 +112,7 @@
 	tt.recordUnreachable(now, s.target)
 }
 
-// sendsOf returns the sends in progress of a request.
+// sendsOf returns this node's sends in progress of the requests with the given fingerprint, of any caller.
 func (tt *targetTable) sendsOf(f quarantine.Fingerprint) []*send {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
@@ -120,9 +127,10 @@
 	return out
 }
 
-// quarantined cancels the sends in progress of a request that has been quarantined. The upstreams may not
-// have started to run it.
-func (s *Server) quarantined(f quarantine.Fingerprint) {
+// cancelQuarantined cancels this node's sends in progress of a request that has been quarantined, since their
+// upstreams may not have started to run it yet. The quarantine table calls it when this node or another has
+// quarantined the request.
+func (s *Server) cancelQuarantined(f quarantine.Fingerprint) {
 	s.metrics.Count("quarantine.requests", 1)
 	running := s.targets.sendsOf(f)
 	s.log.Emit(event.RequestQuarantined).Stringer("fingerprint", f).Int("running_here", len(running)).Send()
@@ -132,8 +140,9 @@
 	s.parts.TriggerExchange()
 }
 
-// checkQuarantine rejects a quarantined request, or a suspect one that is being tried, and records the
-// verdict.
+// checkQuarantine rejects a quarantined request. It also rejects a call of a suspect request that was not sent
+// yet while this node sends the same request for another call: the outcome of one trial at a time decides. It
+// stores the verdict in the call for the choice of a target.
 func (j *job) checkQuarantine() *verdict.Error {
 	j.c.quarantineVerdict = quarantine.Verdict{}
 	if !j.s.quarantine.HasRecords() {
@@ -153,7 +162,8 @@
 	return nil
 }
 
-// recordCompletion records that an upstream ran the call to completion.
+// recordCompletion records that an upstream ran the call to completion, so that earlier terminations no longer
+// count against the request.
 func (j *job) recordCompletion() {
 	if j.s.quarantine.HasRecords() || j.s.pending.any() {
 		j.s.pending.drop(j.c.fingerprint())
@@ -162,7 +172,10 @@
 }
 
 // checkTermination checks whether the upstream terminated while it ran the call, after its response was
-// truncated or the send was canceled for the given cause.
+// truncated or the send was canceled for the given cause (nil if this node did not cancel it). A VM that was
+// silent or restarted may have terminated without closing its port, so that termination stays pending until
+// the platform's list confirms it. For a truncated response the port decides, now or in a recheck. Other
+// canceled sends are not checked. The termination of a VM that was leaving is not attributed to the request.
 func (j *job) checkTermination(ctx context.Context, s *send, cause error) {
 	leaving := j.s.isLeaving(s.vm)
 	if errors.Is(cause, errStalled) || errors.Is(cause, errRestarted) {
@@ -191,7 +204,9 @@
 	}
 }
 
-// recheckTermination checks up to two more times whether a VM with a truncated response has terminated.
+// recheckTermination checks up to two more times, in the background, whether a VM with a truncated response has
+// terminated. A termination found so is attributed to the request unless the request completes meanwhile; the
+// call has gone on by then, so it still counts as an attempt.
 func (s *Server) recheckTermination(sent *send, delay time.Duration) {
 	s.pending.add(clock.Now(), sent, false)
 	time.AfterFunc(delay, func() {
@@ -210,8 +225,8 @@
 	})
 }
 
-// isLeaving reports whether a VM was about to leave, so that its termination is not attributed to its
-// requests.
+// isLeaving reports whether a VM is draining or no longer listed, so that its termination is expected and not
+// attributed to its requests.
 func (s *Server) isLeaving(vm *fleet.VM) bool {
 	snapshot := s.parts.Directory.Snapshot()
 	if snapshot == nil {
@@ -221,7 +236,8 @@
 	return listed == nil || listed.Draining
 }
 
-// recordTermination attributes the termination of a VM to the request that it ran.
+// recordTermination attributes the termination of a VM to the request that it ran, which may quarantine the
+// request.
 func (s *Server) recordTermination(sent *send) {
 	onlySuspect := s.targets.onlySuspect(sent)
 	v := s.quarantine.RecordTermination(clock.Now(), sent.fingerprint, quarantine.IncarnationOf(sent.vm.ID, sent.vm.Born), onlySuspect)
@@ -231,7 +247,7 @@
 		Int("ends", v.Terminations).Int64("quarantined_ms", v.Quarantined.Milliseconds()).Send()
 }
 
-// confirmTerminations checks which of the silent VMs have terminated.
+// confirmTerminations records the pending terminations that the platform's list confirms by now.
 func (s *Server) confirmTerminations(now time.Time) {
 	if !s.pending.any() {
 		return
--- a/internal/gateway/unproven.go
+++ b/internal/gateway/unproven.go
@@ -8,10 +8,11 @@
 	"github.com/marbleroad/marbleroad/internal/quarantine"
 )
 
-// pendingTerminations remembers requests whose VM may have terminated under them. A VM that loses power
-// closes no port: its termination shows only later, by a new incarnation or by its removal from the
-// platform's list. A dying process may close its connections before its port. A request that completes
-// meanwhile is removed.
+// pendingTerminations remembers sends whose VM may have terminated under them, until that is confirmed or
+// pendingTerminationTTL has passed. A VM that loses power closes no port: its termination shows only later, by
+// a new incarnation or by its removal from the platform's list. A dying process may close its connections
+// before its port, so its port is checked again. The sends of a request that completes meanwhile are removed,
+// since it does not crash its VMs. It is safe for concurrent use.
 type pendingTerminations struct {
 	mu    sync.Mutex
 	sends map[*send]pendingTermination
@@ -20,11 +21,12 @@
 // pendingTermination is when a VM may have terminated, and how this can be confirmed.
 type pendingTermination struct {
 	since time.Time
-	// byList is true if the platform's list can confirm the termination.
+	// byList is true if the platform's list confirms the termination, and false if only a recheck of the
+	// port can.
 	byList bool
 }
 
-// add remembers a send.
+// add remembers a send, unless there are too many already.
 func (p *pendingTerminations) add(now time.Time, s *send, byList bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +38,8 @@
 	}
 }
 
-// take removes a send. It reports false if the send was already removed.
+// take removes a send. It reports false if the send was not remembered or was already removed; its termination
+// must then not be attributed to the request.
 func (p *pendingTerminations) take(s *send) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +55,7 @@
 	return len(p.sends) > 0
 }
 
-// drop removes all sends of a request.
+// drop removes all sends of a request, which has completed.
 func (p *pendingTerminations) drop(f quarantine.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +66,8 @@
 	}
 }
 
-// confirmed removes and returns the sends whose VM has terminated, and removes those that are too old.
+// confirmed removes and returns the sends whose termination the platform's list confirms, and removes those
+// that are too old.
 func (p *pendingTerminations) confirmed(now time.Time, snapshot *fleet.Snapshot) []*send {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/unproven_test.go
+++ b/internal/gateway/unproven_test.go
@@ -10,7 +10,7 @@
 
 // TestEveryPendingTerminationIsKept: a request was sent again before it was known whether its previous VM
 // had terminated. The second VM replaced the first one in the pending terminations, so that half of the
-// terminations were never attributed to the request.
+// terminations were never attributed to the request. Each send must stay pending by itself.
 func TestEveryPendingTerminationIsKept(t *testing.T) {
 	now := time.Now()
 	var pending pendingTerminations
