--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -31,7 +31,7 @@
 	samples [maxTimeoutSamples]time.Duration
 	count   int
 	// minTypical is the timeout below which a caller is assumed to be retrying, typical the median
-	// timeout; both are zero while unknown.
+	// timeout; both are zero while unknown. minTypical is also zero while timeouts differ too much.
 	minTypical, typical time.Duration
 }
 
@@ -42,12 +42,14 @@
 	}
 	m.samples[m.count%maxTimeoutSamples] = timeout
 	m.count++
-	const every = 4
-	if m.count%every == 0 && m.count >= minTimeoutSamples {
+	const samplesPerUpdate = 4
+	if m.count%samplesPerUpdate == 0 && m.count >= minTimeoutSamples {
 		m.update()
 	}
 }
 
+// update recomputes minTypical and typical from the samples. If the timeouts differ too much, minTypical
+// becomes 0, so that no caller counts as retrying.
 func (m *callerTimeoutMeter) update() {
 	sorted := slices.Clone(m.samples[:min(m.count, maxTimeoutSamples)])
 	slices.Sort(sorted)
